--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -258,10 +258,10 @@
   virtual Belief belief(int node, double now) const = 0;
 };
 
-class Brain final : public Decisions {
+class AdaptiveRoutingPolicy final : public Decisions {
  public:
-  Brain(const Settings& settings, std::uint64_t seed, double now);
-  ~Brain() override;
+  AdaptiveRoutingPolicy(const Settings& settings, std::uint64_t seed, double now);
+  ~AdaptiveRoutingPolicy() override;
 
   Answer route(Query& q, double now) override;
   Answer settle(Query& q, int leaf, int call, double now) override;
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -23,7 +23,7 @@
   due_ = {};
   const auto seed = mixed(seed_ + life_);
   auto decisions = world_.decide(seed);
-  if (!decisions) decisions = std::make_unique<Brain>(settings_, seed, now());
+  if (!decisions) decisions = std::make_unique<AdaptiveRoutingPolicy>(settings_, seed, now());
   Actions& actions = *this;
   queries_ = std::make_unique<Queries>(std::move(decisions), settings_, seed, due_, actions);
   queries_->sites().on(plan_);
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -34,7 +34,7 @@
 }
 }  // namespace
 
-struct Brain::State {
+struct AdaptiveRoutingPolicy::State {
   Nodes nodes;
   Verticals verticals;
   Admission admission;
@@ -68,7 +68,7 @@
   void learn(const Query& q, const Leaf& leaf, const Call& call, double now);
 };
 
-Brain::State::State(const Settings& s, std::uint64_t seed, double now)
+AdaptiveRoutingPolicy::State::State(const Settings& s, std::uint64_t seed, double now)
     : nodes(s),
       verticals(s),
       admission(s, now),
@@ -82,14 +82,14 @@
       called(now) {}
 
 // What a router that stood still reads at once must not pass for slow nodes, nor old queries for new ones.
-void Brain::State::wake(double now) {
+void AdaptiveRoutingPolicy::State::wake(double now) {
   if (now <= called) return;
   standstill = now - called > kStandstill ? now - called - kPeriod : 0;
   called = now;
 }
 
 // The one guard that every send passes: why a part may not be sent to a node.
-Why Brain::State::barred(const Query& q, const Leaf& leaf, Node& node, double now) {
+Why AdaptiveRoutingPolicy::State::barred(const Query& q, const Leaf& leaf, Node& node, double now) {
   if (q.ended || leaf.in || now >= verticals.last_end(q)) return why(Reason::time_over);  // rule 1
   if (leaf.attempts() >= is.max_calls) return why(Reason::calls_spent, is.max_calls);
   if (now >= resend_until(q, leaf)) return why(Reason::may_have_run);  // rule 2
@@ -105,7 +105,7 @@
 }
 
 // Rule 2: until when a part may be sent, or sent again.
-double Brain::State::resend_until(const Query& q, const Leaf& leaf) {
+double AdaptiveRoutingPolicy::State::resend_until(const Query& q, const Leaf& leaf) {
   const auto& v = verticals.told(q);
   if (v.effect == Effect::repeatable) return kNever;
   const auto first = std::find_if(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
@@ -114,7 +114,7 @@
 }
 
 // The node for a part, or why there is none.
-int Brain::State::choose(const Query& q, int index, bool beside, double now, double& best, Why& because) {
+int AdaptiveRoutingPolicy::State::choose(const Query& q, int index, bool beside, double now, double& best, Why& because) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
   int chosen = kNone;
   double next = kNever;
@@ -170,14 +170,14 @@
   return chosen;
 }
 
-bool Brain::State::copy_due(const Query& q, const Leaf& leaf, double now) {
+bool AdaptiveRoutingPolicy::State::copy_due(const Query& q, const Leaf& leaf, double now) {
   return may_copy(q) && leaf.calls.size() == 1 && leaf.calls[0].pending() &&
          now >= verticals.copy_at(q, leaf) - 1e-6 && now < verticals.slo_end(q);
 }
 
 // A part is sent again where each call that is out went to a site before its loss, or is too old to be slow
 // at a node that has done later ones or is suspect and silent; by age alone heavy parts would go again.
-bool Brain::State::lost(const Query& q, const Leaf& leaf, double now) {
+bool AdaptiveRoutingPolicy::State::lost(const Query& q, const Leaf& leaf, double now) {
   return is.may_cancel && is.may_copy &&
          std::all_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& call) {
            const auto& node = at(call.node);
@@ -188,7 +188,7 @@
 }
 
 // Where a part that is not in goes now, if anywhere.
-void Brain::State::place(const Query& q, int index, Answer& answer, double now) {
+void AdaptiveRoutingPolicy::State::place(const Query& q, int index, Answer& answer, double now) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
   const auto out = leaf.any_pending();
   const auto sent = firsts.recent(now);
@@ -216,7 +216,7 @@
   answer.sends.push_back(commit(q, index, node, because, now));
 }
 
-Send Brain::State::commit(const Query& q, int leaf_index, int node_index, Why because, double now) {
+Send AdaptiveRoutingPolicy::State::commit(const Query& q, int leaf_index, int node_index, Why because, double now) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
   auto& node = at(node_index);
   nodes.touch(node_index);
@@ -240,7 +240,7 @@
           because,         resend_until(q, leaf) - now};
 }
 
-Answer Brain::State::give_up(const Query& q, Why because) {
+Answer AdaptiveRoutingPolicy::State::give_up(const Query& q, Why because) {
   Answer answer;
   // Rule 2: a rejection says that a retry is harmless.
   const auto harmless =
@@ -255,7 +255,7 @@
 }
 
 // Whether the query ends now, and how.
-Answer Brain::State::ending(const Query& q, double now) {
+Answer AdaptiveRoutingPolicy::State::ending(const Query& q, double now) {
   const auto& v = verticals.told(q);
   double in[2] = {0, 0};        // weight that is in, by step
   double possible[2] = {0, 0};  // and that may still come
@@ -294,7 +294,7 @@
 }
 
 // What an outcome tells of the node and of the latencies.
-void Brain::State::learn(const Query& q, const Leaf& leaf, const Call& call, double now) {
+void AdaptiveRoutingPolicy::State::learn(const Query& q, const Leaf& leaf, const Call& call, double now) {
   auto& v = of(q);
   auto& node = at(call.node);
   nodes.touch(call.node);
@@ -341,11 +341,11 @@
   nodes.learn(node, value, good, now);
 }
 
-Brain::Brain(const Settings& settings, std::uint64_t seed, double now)
+AdaptiveRoutingPolicy::AdaptiveRoutingPolicy(const Settings& settings, std::uint64_t seed, double now)
     : s_(std::make_unique<State>(settings, seed, now)) {}
-Brain::~Brain() = default;
+AdaptiveRoutingPolicy::~AdaptiveRoutingPolicy() = default;
 
-Answer Brain::route(Query& q, double now) {
+Answer AdaptiveRoutingPolicy::route(Query& q, double now) {
   auto& s = *s_;
   s.wake(now);
   s.judged.all.clear();
@@ -371,7 +371,7 @@
     if (!q.leaves[i].in) s.place(q, static_cast<int>(i), answer, now);
   return answer;
 }
-Answer Brain::settle(Query& q, int leaf_index, int call_index, double now) {
+Answer AdaptiveRoutingPolicy::settle(Query& q, int leaf_index, int call_index, double now) {
   auto& s = *s_;
   s.wake(now);
   s.judged.all.clear();
@@ -384,7 +384,7 @@
   if (s.is.may_cancel) cancel_pending(answer, leaf, leaf_index, Reason::race_lost, now);
   return answer;
 }
-double Brain::wait(const Query& q, double now) const {
+double AdaptiveRoutingPolicy::wait(const Query& q, double now) const {
   auto& s = *s_;
   auto due = s.verticals.last_end(q);
   if (now < s.verticals.slo_end(q)) due = std::min(due, s.verticals.slo_end(q));
@@ -395,22 +395,22 @@
   }
   return std::max(due - now, 1e-3);
 }
-void Brain::take(int requests, double now) {
+void AdaptiveRoutingPolicy::take(int requests, double now) {
   s_->taken.add(now, requests);
 }
 // Only what discovery says ends the asking: taken for it, the list known last led to drained nodes.
-void Brain::list(std::span<const Host> hosts, bool complete, bool told) {
+void AdaptiveRoutingPolicy::list(std::span<const Host> hosts, bool complete, bool told) {
   s_->nodes.list(hosts, complete);
   if (told) s_->ask_after = kNever;
 }
-void Brain::forget(int node) {
+void AdaptiveRoutingPolicy::forget(int node) {
   s_->nodes.forget(node);
 }
-void Brain::list_failed(double now) {
+void AdaptiveRoutingPolicy::list_failed(double now) {
   // Many routers that were turned away together must not come back together.
   s_->ask_after = now + kListAgain * std::uniform_real_distribution<>(0.5, 1.5)(s_->chance);
 }
-bool Brain::tick(double now) {
+bool AdaptiveRoutingPolicy::tick(double now) {
   auto& s = *s_;
   s.wake(now);
   if (s.standstill > 0) return false;
@@ -430,29 +430,29 @@
   if (ask) s.ask_after = now + kListPatience;
   return ask;
 }
-double Brain::period() const {
+double AdaptiveRoutingPolicy::period() const {
   return kPeriod;
 }
-std::vector<Word> Brain::tell() {
+std::vector<Word> AdaptiveRoutingPolicy::tell() {
   return std::exchange(s_->nodes.words, {});
 }
-void Brain::hear(Word word, double now) {
+void AdaptiveRoutingPolicy::hear(Word word, double now) {
   s_->nodes.hear(word, now);
 }
-void Brain::believe(std::span<const SiteShare> sites) {
+void AdaptiveRoutingPolicy::believe(std::span<const SiteShare> sites) {
   s_->nodes.believe(sites);
 }
-void Brain::explain(bool on) {
+void AdaptiveRoutingPolicy::explain(bool on) {
   s_->judged.on = on;
   s_->judged.all.reserve(kMostJudged);
 }
-std::span<const Judged> Brain::judged() const {
+std::span<const Judged> AdaptiveRoutingPolicy::judged() const {
   return s_->judged.all;
 }
-long long Brain::unjudged() const {
+long long AdaptiveRoutingPolicy::unjudged() const {
   return s_->judged.left_out;
 }
-Belief Brain::belief(int number, double now) const {
+Belief AdaptiveRoutingPolicy::belief(int number, double now) const {
   const auto& nodes = s_->nodes;
   if (static_cast<std::size_t>(number) >= nodes.all.size()) return Belief::unheard;
   const auto& node = nodes.all[static_cast<std::size_t>(number)];
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -5,7 +5,7 @@
 namespace yoketurn {
 
 Queries::Queries(const Settings& settings, std::uint64_t seed, double now, DueTimes& due, Actions& actions)
-    : Queries(std::make_unique<Brain>(settings, seed, now), settings, seed, due, actions) {}
+    : Queries(std::make_unique<AdaptiveRoutingPolicy>(settings, seed, now), settings, seed, due, actions) {}
 
 Queries::Queries(std::unique_ptr<Decisions> decisions, const Settings& settings, std::uint64_t seed,
                  DueTimes& due, Actions& actions)
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -858,7 +858,7 @@
 TEST_CASE("where the list must be asked for it is asked until it comes") {
   auto s = settings();
   s.must_ask_list = true;
-  Brain brain(s, 1, 100);
+  AdaptiveRoutingPolicy brain(s, 1, 100);
   brain.list(Rig(s).hosts, true, false);  // known last: nothing that discovery said
   CHECK(brain.tick(100.1));
   CHECK(!brain.tick(100.2));
@@ -876,7 +876,7 @@
   s.must_ask_list = true;
   std::set<int> rounds;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Brain brain(s, seed, 100);
+    AdaptiveRoutingPolicy brain(s, seed, 100);
     brain.tick(100.1);
     brain.list_failed(100.2);
     auto now = 100.2;
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -91,7 +91,7 @@
   static Leaf& leaf(Query& q, int index) { return q.leaves[static_cast<std::size_t>(index)]; }
 
   double now = 1000;
-  Brain brain;
+  AdaptiveRoutingPolicy brain;
   std::vector<Host> hosts;
 };
 
