--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -231,9 +231,9 @@
 
 // What is asked of whoever decides; `Brain` is the module. Others stand in its place where designs are
 // compared.
-class Decisions {
+class RoutingPolicy {
  public:
-  virtual ~Decisions() = default;
+  virtual ~RoutingPolicy() = default;
 
   // The three questions.
   virtual Answer route(Query& q, double now) = 0;
@@ -258,7 +258,7 @@
   virtual Belief belief(int node, double now) const = 0;
 };
 
-class AdaptiveRoutingPolicy final : public Decisions {
+class AdaptiveRoutingPolicy final : public RoutingPolicy {
  public:
   AdaptiveRoutingPolicy(const Settings& settings, std::uint64_t seed, double now);
   ~AdaptiveRoutingPolicy() override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -23,7 +23,7 @@
 constexpr double kAgain = 0.01;      // until a part that failed goes out again
 constexpr double kRounding = 1e-9;
 
-class Plain final : public Decisions {
+class Plain final : public RoutingPolicy {
  public:
   Plain(const Settings& settings, const Design& design, std::uint64_t seed,
         std::function<double(int node)> waiting)
@@ -270,7 +270,7 @@
       "-no-copies or (but for module) -at-once behind");
 }
 
-std::unique_ptr<Decisions> plain(const Settings& settings, const Design& design, std::uint64_t seed,
+std::unique_ptr<RoutingPolicy> plain(const Settings& settings, const Design& design, std::uint64_t seed,
                                  std::function<double(int node)> waiting) {
   return std::make_unique<Plain>(settings, design, seed, std::move(waiting));
 }
--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -36,7 +36,7 @@
     std::function<void(Process&, const SiteNews&)> believes;
     std::function<void(Process&, const Call&)> settled;
     // nullptr: the module does.
-    std::function<std::unique_ptr<Decisions>(std::uint64_t seed)> decide;
+    std::function<std::unique_ptr<RoutingPolicy>(std::uint64_t seed)> decide;
   };
   Process(Engine& engine, const Settings& settings, int number, std::uint64_t seed, bool plan,
           const World& world);
--- a/src/emulator/town.cpp
+++ b/src/emulator/town.cpp
@@ -125,7 +125,7 @@
 
 Town::~Town() = default;
 
-std::unique_ptr<Decisions> Town::decide(std::uint64_t seed) {
+std::unique_ptr<RoutingPolicy> Town::decide(std::uint64_t seed) {
   // All sites' settings differ in the zone alone, which the plain designs don't read.
   if (options_.design.choice == Design::Choice::module) return nullptr;
   return plain(settings_[0], options_.design, seed, [this](int node) {
--- a/src/emulator/town.hpp
+++ b/src/emulator/town.hpp
@@ -127,7 +127,7 @@
 
   void begin(std::size_t fault);
   void finish(std::size_t fault);
-  std::unique_ptr<Decisions> decide(std::uint64_t seed);  // nullptr: the module
+  std::unique_ptr<RoutingPolicy> decide(std::uint64_t seed);  // nullptr: the module
 
   days::Day day_;
   Options options_;
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -33,7 +33,7 @@
  public:
   Queries(const Settings& settings, std::uint64_t seed, double now, DueTimes& due, Actions& actions);
   // With others in the place of the module.
-  Queries(std::unique_ptr<Decisions> decisions, const Settings& settings, std::uint64_t seed, DueTimes& due,
+  Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed, DueTimes& due,
           Actions& actions);
 
   void list(std::span<const Host> hosts, bool complete, double now, bool told = true) {
@@ -83,7 +83,7 @@
 
   void believe();
 
-  std::unique_ptr<Decisions> decisions_;
+  std::unique_ptr<RoutingPolicy> decisions_;
   Sites sites_;
   DueTimes& due_;
   Actions& actions_;
