--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -204,7 +204,7 @@
 enum class End { none, merge_whole, merge_part, reject, abort };
 
 // What to do for a query: cancels first, then the sends, then the end. Every named send counts as sent.
-struct Answer {
+struct Decision {
   std::vector<Cancel> cancels;
   std::vector<Send> sends;
   End end = End::none;
@@ -236,8 +236,8 @@
   virtual ~RoutingPolicy() = default;
 
   // The three questions.
-  virtual Answer route(Query& q, double now) = 0;
-  virtual Answer settle(Query& q, int leaf, int call, double now) = 0;  // the outcome stands in the call
+  virtual Decision route(Query& q, double now) = 0;
+  virtual Decision settle(Query& q, int leaf, int call, double now) = 0;  // the outcome stands in the call
   virtual double wait(const Query& q, double now) const = 0;
 
   virtual void take(int requests, double now) = 0;  // so many queries and parts came in
@@ -263,8 +263,8 @@
   AdaptiveRoutingPolicy(const Settings& settings, std::uint64_t seed, double now);
   ~AdaptiveRoutingPolicy() override;
 
-  Answer route(Query& q, double now) override;
-  Answer settle(Query& q, int leaf, int call, double now) override;
+  Decision route(Query& q, double now) override;
+  Decision settle(Query& q, int leaf, int call, double now) override;
   double wait(const Query& q, double now) const override;
   void take(int requests, double now) override;
   void list(std::span<const Host> hosts, bool complete, bool told = true) override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -32,7 +32,7 @@
         chance_(static_cast<std::uint_fast32_t>(seed)),
         true_waiting_(std::move(waiting)) {}
 
-  Answer route(Query& q, double now) override {
+  Decision route(Query& q, double now) override {
     q.admitted = true;
     auto answer = ending(q, now);
     if (answer.end != End::none) return answer;
@@ -41,14 +41,14 @@
     return answer;
   }
 
-  Answer settle(Query& q, int leaf_index, int call_index, double now) override {
+  Decision settle(Query& q, int leaf_index, int call_index, double now) override {
     auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
     const auto& call = leaf.calls[static_cast<std::size_t>(call_index)];
     if (call.outcome != Outcome::unsent) {
       auto& out = out_[call.node];
       out = std::max(out - 1, 0);
     }
-    Answer answer;
+    Decision answer;
     if (call.outcome != Outcome::success || leaf.in) return answer;
     latencies_.add(now, {now - call.sent, false});
     leaf.in = true;
@@ -114,8 +114,8 @@
     return leaf.calls[0].sent + late_;
   }
 
-  Answer ending(const Query& q, double now) {
-    Answer answer;
+  Decision ending(const Query& q, double now) {
+    Decision answer;
     double in = 0, possible = 0;
     for (const auto& leaf : q.leaves) {
       if (leaf.in) in += leaf.weight;
@@ -152,7 +152,7 @@
     return v.effect == Effect::deduplicated ? ran->sent + v.window - kMargin : 0;
   }
 
-  void place(const Query& q, int index, Answer& answer, double now) {
+  void place(const Query& q, int index, Decision& answer, double now) {
     const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
     const auto out = leaf.any_pending();
     const auto repeatable = of(q).effect == Effect::repeatable || breaks(Design::Broken::twice);
@@ -177,7 +177,7 @@
       send(q, index, Reason::copy, answer, now, answer.sends.back().node);
   }
 
-  void send(const Query& q, int index, Reason reason, Answer& answer, double now, int but) {
+  void send(const Query& q, int index, Reason reason, Decision& answer, double now, int but) {
     const auto node = choose(q.leaves[static_cast<std::size_t>(index)], now, but);
     if (node == kNone) return;
     ++out_[node];
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -21,7 +21,7 @@
 constexpr double kListAgain = 2;      // after a failed call for the list, on average
 constexpr double kListPatience = 10;  // and after one that has not been answered
 
-void cancel_pending(Answer& answer, const Leaf& leaf, int index, Reason reason, double now) {
+void cancel_pending(Decision& answer, const Leaf& leaf, int index, Reason reason, double now) {
   for (std::size_t i = 0; i < leaf.calls.size(); ++i)
     if (leaf.calls[i].pending())
       answer.cancels.push_back({index, static_cast<int>(i), why(reason, now - leaf.calls[i].sent)});
@@ -61,10 +61,10 @@
   int choose(const Query& q, int index, bool beside, double now, double& best, Why& because);
   bool copy_due(const Query& q, const Leaf& leaf, double now);
   bool lost(const Query& q, const Leaf& leaf, double now);
-  void place(const Query& q, int index, Answer& answer, double now);
+  void place(const Query& q, int index, Decision& answer, double now);
   Send commit(const Query& q, int leaf, int node, Why why, double now);
-  Answer ending(const Query& q, double now);
-  Answer give_up(const Query& q, Why why);
+  Decision ending(const Query& q, double now);
+  Decision give_up(const Query& q, Why why);
   void learn(const Query& q, const Leaf& leaf, const Call& call, double now);
 };
 
@@ -188,7 +188,7 @@
 }
 
 // Where a part that is not in goes now, if anywhere.
-void AdaptiveRoutingPolicy::State::place(const Query& q, int index, Answer& answer, double now) {
+void AdaptiveRoutingPolicy::State::place(const Query& q, int index, Decision& answer, double now) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
   const auto out = leaf.any_pending();
   const auto sent = firsts.recent(now);
@@ -240,8 +240,8 @@
           because,         resend_until(q, leaf) - now};
 }
 
-Answer AdaptiveRoutingPolicy::State::give_up(const Query& q, Why because) {
-  Answer answer;
+Decision AdaptiveRoutingPolicy::State::give_up(const Query& q, Why because) {
+  Decision answer;
   // Rule 2: a rejection says that a retry is harmless.
   const auto harmless =
       verticals.told(q).effect == Effect::repeatable ||
@@ -255,7 +255,7 @@
 }
 
 // Whether the query ends now, and how.
-Answer AdaptiveRoutingPolicy::State::ending(const Query& q, double now) {
+Decision AdaptiveRoutingPolicy::State::ending(const Query& q, double now) {
   const auto& v = verticals.told(q);
   double in[2] = {0, 0};        // weight that is in, by step
   double possible[2] = {0, 0};  // and that may still come
@@ -268,7 +268,7 @@
     if (leaf.in || leaf.any_pending() || more) possible[step] += leaf.weight;
   }
   if (q.awaited > 0) possible[q.step - 1] = 1;
-  Answer answer;
+  Decision answer;
   const auto now_in = in[q.step - 1], now_possible = possible[q.step - 1];
   const auto whole = q.step == 1 ? now_in >= v.whole - kRounding : second_in && q.awaited == 0;
   const auto enough =
@@ -345,7 +345,7 @@
     : s_(std::make_unique<State>(settings, seed, now)) {}
 AdaptiveRoutingPolicy::~AdaptiveRoutingPolicy() = default;
 
-Answer AdaptiveRoutingPolicy::route(Query& q, double now) {
+Decision AdaptiveRoutingPolicy::route(Query& q, double now) {
   auto& s = *s_;
   s.wake(now);
   s.judged.all.clear();
@@ -371,14 +371,14 @@
     if (!q.leaves[i].in) s.place(q, static_cast<int>(i), answer, now);
   return answer;
 }
-Answer AdaptiveRoutingPolicy::settle(Query& q, int leaf_index, int call_index, double now) {
+Decision AdaptiveRoutingPolicy::settle(Query& q, int leaf_index, int call_index, double now) {
   auto& s = *s_;
   s.wake(now);
   s.judged.all.clear();
   auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
   const auto& call = leaf.calls[static_cast<std::size_t>(call_index)];
   s.learn(q, leaf, call, now);
-  Answer answer;
+  Decision answer;
   if (call.outcome != Outcome::success || leaf.in) return answer;
   leaf.in = true;
   if (s.is.may_cancel) cancel_pending(answer, leaf, leaf_index, Reason::race_lost, now);
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -81,7 +81,7 @@
   touched_.push_back(number);
 }
 
-void Queries::perform(long long number, Held& held, const Answer& answer, double now) {
+void Queries::perform(long long number, Held& held, const Decision& answer, double now) {
   if (witness_ != nullptr) witness_->decided(number, held.query, answer, decisions_->judged(), now);
   for (const auto& cancel : answer.cancels) actions_.cancel(number, cancel);
   for (const auto& send : answer.sends) {
@@ -94,7 +94,7 @@
   if (answer.end != End::none) finish_step(number, held, answer);
 }
 
-void Queries::finish_step(long long number, Held& held, const Answer& answer) {
+void Queries::finish_step(long long number, Held& held, const Decision& answer) {
   auto& q = held.query;
   if (answer.end == End::reject) {
     actions_.reject(number, answer.stay_away, answer.why);
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -77,8 +77,8 @@
   };
 
   void touch(long long number, Held& held);
-  void perform(long long number, Held& held, const Answer& answer, double now);
-  void finish_step(long long number, Held& held, const Answer& answer);
+  void perform(long long number, Held& held, const Decision& answer, double now);
+  void finish_step(long long number, Held& held, const Decision& answer);
   void end(long long number, Held& held);
 
   void believe();
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -52,7 +52,7 @@
     return q;
   }
 
-  Answer route(Query& q) {
+  Decision route(Query& q) {
     auto answer = brain.route(q, now);
     for (const auto& send : answer.sends)
       leaf(q, send.leaf).calls.push_back({send.node, send.group, now, Outcome::pending});
@@ -60,7 +60,7 @@
     return answer;
   }
 
-  Answer settle(Query& q, int index, Outcome outcome, int call = -1) {
+  Decision settle(Query& q, int index, Outcome outcome, int call = -1) {
     auto& calls = leaf(q, index).calls;
     const auto at = call < 0 ? calls.size() - 1 : static_cast<std::size_t>(call);
     calls[at].outcome = outcome;
