--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -213,7 +213,7 @@
 };
 
 // What routers tell each other: a part was sent to a node, or a call there has ended.
-struct Word {
+struct PeerReport {
   int node = kNone;
   double took = 0;  // what is taken for the latency of the call that ended; 0: one was sent
 };
@@ -247,8 +247,8 @@
   virtual void list_failed(double now) = 0;
   virtual bool tick(double now) = 0;  // whether the list must be asked for
   virtual double period() const = 0;
-  virtual std::vector<Word> tell() = 0;  // to all other routers: what there is to tell since the last call
-  virtual void hear(Word word, double now) = 0;
+  virtual std::vector<PeerReport> tell() = 0;  // to all other routers: what there is to tell since the last call
+  virtual void hear(PeerReport word, double now) = 0;
   virtual void believe(std::span<const SiteShare> sites) = 0;  // by zone; empty: all are sound
 
   // Has what is passed over and what waits noted from now on, at most kMostJudged an answer.
@@ -272,8 +272,8 @@
   void list_failed(double now) override;
   bool tick(double now) override;
   double period() const override;
-  std::vector<Word> tell() override;
-  void hear(Word word, double now) override;
+  std::vector<PeerReport> tell() override;
+  void hear(PeerReport word, double now) override;
   void believe(std::span<const SiteShare> sites) override;
   void explain(bool on) override;
   std::span<const Judged> judged() const override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -91,8 +91,8 @@
     return false;
   }
   double period() const override { return kPeriod; }
-  std::vector<Word> tell() override { return {}; }
-  void hear(Word, double) override {}
+  std::vector<PeerReport> tell() override { return {}; }
+  void hear(PeerReport, double) override {}
   void believe(std::span<const SiteShare>) override {}
   void explain(bool) override {}
   std::span<const Judged> judged() const override { return {}; }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -433,10 +433,10 @@
 double AdaptiveRoutingPolicy::period() const {
   return kPeriod;
 }
-std::vector<Word> AdaptiveRoutingPolicy::tell() {
+std::vector<PeerReport> AdaptiveRoutingPolicy::tell() {
   return std::exchange(s_->nodes.words, {});
 }
-void AdaptiveRoutingPolicy::hear(Word word, double now) {
+void AdaptiveRoutingPolicy::hear(PeerReport word, double now) {
   s_->nodes.hear(word, now);
 }
 void AdaptiveRoutingPolicy::believe(std::span<const SiteShare> sites) {
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -152,7 +152,7 @@
 }
 
 // What others tell is evidence that ages; it clears no suspicion.
-void Nodes::hear(Word word, double now) {
+void Nodes::hear(PeerReport word, double now) {
   if (static_cast<std::size_t>(word.node) >= all.size()) return;
   auto& node = at(word.node);
   touch(word.node);
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -76,7 +76,7 @@
   Cold cold;
   int zone, parts_a_call, cells, span;
   bool may_tell;
-  std::vector<Word> words;       // to be told
+  std::vector<PeerReport> words;       // to be told
   int listed_up = 0;             // nodes that are up by the last list
   std::vector<SiteShare> sites;  // by zone; empty: all are sound
   std::vector<Node> all;
@@ -106,7 +106,7 @@
   double others_at(const Node& node, double now) const;
   bool joins(const Node& node, double now) const;
   void tell(int node, double took) { may_tell ? words.push_back({node, took}) : void(); }
-  void hear(Word word, double now);
+  void hear(PeerReport word, double now);
   // A node under suspicion gets one part at a time, after a pause, unless there is nowhere better to go.
   bool shunned(const Node& node, double now) const {
     return node.suspect && (!node.waiting.empty() || now < node.trial_at);
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -26,7 +26,7 @@
   virtual void abort(long long query, const Why& why) = 0;
   virtual void forget(long long query) = 0;       // ended, and no call is out any more
   virtual void ended(int, const Call&) {}         // of this vertical; its outcome stands in it
-  virtual void tell(const std::vector<Word>&) {}  // where the other routers can be told
+  virtual void tell(const std::vector<PeerReport>&) {}  // where the other routers can be told
 };
 
 class Queries {
@@ -44,7 +44,7 @@
     decisions_->forget(node);
     sites_.forget(node);
   }
-  void hear(Word word, double now) { decisions_->hear(word, now); }
+  void hear(PeerReport word, double now) { decisions_->hear(word, now); }
   void list_failed(double now) { decisions_->list_failed(now); }
   bool tick(double now);
   Sites& sites() { return sites_; }
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -51,7 +51,7 @@
   void reject(long long query, double stay_away, const Why& why) override;
   void abort(long long query, const Why& why) override;
   void forget(long long query) override;
-  void tell(const std::vector<Word>& words) override;
+  void tell(const std::vector<PeerReport>& words) override;
 
   std::string name_;
   DueTimes due_;
