--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -69,7 +69,7 @@
   }
 
   void take(int, double) override {}
-  void list(std::span<const Host> hosts, bool complete, bool) override {
+  void list(std::span<const DiscoveredNode> hosts, bool complete, bool) override {
     if (complete)
       for (auto& host : hosts_) host.up = false;
     for (const auto& host : hosts) {
@@ -234,7 +234,7 @@
   Design design_;
   std::ranlux24_base chance_;
   std::function<double(int node)> true_waiting_;
-  std::vector<Host> hosts_;
+  std::vector<DiscoveredNode> hosts_;
   std::vector<std::vector<int>> by_cell_;
   std::map<int, int> out_, turn_;
   Window latencies_{kWindow};
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -139,7 +139,7 @@
   });
 }
 
-void Process::told(std::vector<Host> hosts, bool complete) {
+void Process::told(std::vector<DiscoveredNode> hosts, bool complete) {
   take([this, hosts = std::move(hosts), complete] {
     if (ready_) queries_->list(hosts, complete, now());
   });
--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -53,12 +53,12 @@
   std::uint32_t life() const { return life_; }
   long long query_of(long long request) const { return by_request_.at(request); }
   // What its agent tells it, or the configuration of its start; nothing where discovery is silent.
-  std::function<std::vector<Host>(bool known_last)> list;
+  std::function<std::vector<DiscoveredNode>(bool known_last)> list;
 
   void ask(const Request& request);
   void gone(long long request);  // its client has left
   void ended(long long query, int leaf, int call, Outcome outcome);
-  void told(std::vector<Host> hosts, bool complete);
+  void told(std::vector<DiscoveredNode> hosts, bool complete);
 
   static constexpr double kZero = 1000;  // its clock when the day begins: a start at 0 is long ago
 
--- a/src/emulator/town.cpp
+++ b/src/emulator/town.cpp
@@ -324,7 +324,7 @@
 
 // --- discovery
 
-Host Town::host(int node, const Entry& entry) const {
+DiscoveredNode Town::host(int node, const Entry& entry) const {
   const auto n = static_cast<std::size_t>(node);
   int first = 0;
   for (int s = 0; s < site_of_node_[n]; ++s) first += day_.sites[static_cast<std::size_t>(s)].nodes;
@@ -333,8 +333,8 @@
           entry.state == "ready", entry.born > 0 ? entry.born + Process::kZero : 0};
 }
 
-std::vector<Host> Town::hosts(int router, bool known_last) const {
-  std::vector<Host> result;
+std::vector<DiscoveredNode> Town::hosts(int router, bool known_last) const {
+  std::vector<DiscoveredNode> result;
   const auto& agent = agents_[static_cast<std::size_t>(router)];
   if (known_last) {  // the list of the configuration, as the day began
     for (std::size_t n = 0; n < entries_.size(); ++n) result.push_back(host(static_cast<int>(n), {}));
@@ -352,7 +352,7 @@
   entries_[static_cast<std::size_t>(node)].changed = true;
   engine_.after(day_.list_late, [this, node, version] {
     const auto& entry = entries_[static_cast<std::size_t>(node)];
-    std::vector<Host> fresh;
+    std::vector<DiscoveredNode> fresh;
     if (entry.name > 0) {  // a process under another name: its old one is gone
       fresh.push_back(host(node, {"gone", 0, entry.name - 1, true}));
     }
--- a/src/emulator/town.hpp
+++ b/src/emulator/town.hpp
@@ -114,8 +114,8 @@
   void note_part(days::Kind kind, const Flight& flight, std::string_view text);
 
   // Discovery.
-  std::vector<Host> hosts(int router, bool known_last) const;
-  Host host(int node, const Entry& entry) const;
+  std::vector<DiscoveredNode> hosts(int router, bool known_last) const;
+  DiscoveredNode host(int node, const Entry& entry) const;
   void changed(int node);
   void tell_all(int router);
 
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -103,7 +103,7 @@
   return node;
 }
 
-void Nodes::list(std::span<const Host> hosts, bool complete) {
+void Nodes::list(std::span<const DiscoveredNode> hosts, bool complete) {
   if (complete) {
     for (auto& node : all) node.up = false;
     listed_up = 0;
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -91,7 +91,7 @@
 
   Node& at(int node) { return all[static_cast<std::size_t>(node)]; }
   Node unheard() const;
-  void list(std::span<const Host> hosts, bool complete);
+  void list(std::span<const DiscoveredNode> hosts, bool complete);
   void forget(int node);
   double usual(const Node& node, double now) const;
   double drifted(const Node& node, double usual, double now) const;
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -36,7 +36,7 @@
   Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed, DueTimes& due,
           Actions& actions);
 
-  void list(std::span<const Host> hosts, bool complete, double now, bool told = true) {
+  void list(std::span<const DiscoveredNode> hosts, bool complete, double now, bool told = true) {
     decisions_->list(hosts, complete, told);
     sites_.list(hosts, complete, now);
   }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -729,7 +729,7 @@
 void Router::listed(const MemberList& list) {
   members_.apply(list);
   standing_.listed(members_.list(), list.full, text_of(discovery_now_), now());
-  std::vector<Host> hosts;
+  std::vector<DiscoveredNode> hosts;
   std::set<int> present;
   std::size_t ready = 0;
   for (const auto& member : list.members) {
--- a/src/sites/sites.cpp
+++ b/src/sites/sites.cpp
@@ -69,7 +69,7 @@
   changed_ = true;
 }
 
-void Sites::list(std::span<const Host> hosts, bool complete, double now) {
+void Sites::list(std::span<const DiscoveredNode> hosts, bool complete, double now) {
   if (complete)
     for (auto& node : nodes_) node.up = false;
   for (const auto& host : hosts) {
--- a/src/sites/sites.hpp
+++ b/src/sites/sites.hpp
@@ -54,7 +54,7 @@
   Sites(const Settings& settings, std::uint64_t seed);
 
   void on(bool on);  // off: all sites count as sound, nothing is told
-  void list(std::span<const Host> hosts, bool complete, double now);
+  void list(std::span<const DiscoveredNode> hosts, bool complete, double now);
   void forget(int node);
   void sent(int node, double now);
   // Of a call that was sent at `sent`.
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -58,7 +58,7 @@
   if (kind == "lost") return queries_.list_failed(now);
   if (kind != "incr" && kind != "total" && kind != "warm_copy")
     throw Malformed("kind: '" + std::string(kind) + "' makes no sense");
-  std::vector<yoketurn::Host> hosts;
+  std::vector<yoketurn::DiscoveredNode> hosts;
   for (const auto& entry : entries)
     hosts.push_back(
         {node(entry.node), look_up(zones_, entry.zone), entry.cell, entry.status == 'U', entry.born});
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -493,7 +493,7 @@
   rig.hosts[1].up = rig.hosts[2].up = true;
   rig.brain.list(rig.hosts, true);
   rig.brain.forget(0);
-  const Host nowhere{900, 0, 77, true, 0};  // a cell that is not there
+  const DiscoveredNode nowhere{900, 0, 77, true, 0};  // a cell that is not there
   rig.brain.list({&nowhere, 1}, false);
   rig.brain.forget(nowhere.node);
   rig.pass(0.1);
@@ -508,7 +508,7 @@
 TEST_CASE("rule 3: a draining or missing node gets nothing") {
   for (const bool complete : {false, true}) {
     Rig rig;
-    std::vector<Host> news{{0, 0, 0, false, 0}};
+    std::vector<DiscoveredNode> news{{0, 0, 0, false, 0}};
     if (complete) news = {rig.hosts[1], rig.hosts[2]};
     rig.brain.list(news, complete);
     CHECK(rig.serve(30, 0.05)[0] == 0);
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -15,7 +15,7 @@
 // Queries with what they want done written down.
 struct Desk : Actions {
   explicit Desk(const Settings& s = settings()) : queries(s, 7, now, due, *this) {
-    std::vector<Host> hosts;
+    std::vector<DiscoveredNode> hosts;
     for (int i = 0; i < 3; ++i) hosts.push_back({i, 0, i, true, 0});
     queries.list(hosts, true, now);
   }
@@ -187,7 +187,7 @@
   Recorder recorder;
   DueTimes due;
   Queries queries(settings(pairs(setup)), 77, 1, due, recorder);
-  const Host hosts[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
+  const DiscoveredNode hosts[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
   queries.list(hosts, true, 1);
   std::string text = "frame 1000000 1\nopen_instance router-0 77 " + setup +
                      "\ninventory 0 3\nnode 0 a k 0 U 1 -\nnode 1 a k 1 U 1 -\nnode 2 b k 2 U 1 -\n"
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -105,7 +105,7 @@
   int many, per_site;
   std::mt19937 chance;
   double now = 100, ticked = 100, slow = 1;
-  std::vector<Host> hosts;
+  std::vector<DiscoveredNode> hosts;
   std::vector<Fate> fate;
   std::deque<Due> due;
   std::vector<SiteNews> all_news;
@@ -233,7 +233,7 @@
   CHECK(alone.view.shares().empty());
   Settings s;
   Sites none(s, 1);
-  const Host host{0, kNone, 0, true, 0};
+  const DiscoveredNode host{0, kNone, 0, true, 0};
   none.list({&host, 1}, true, 1);
   none.sent(0, 1);
   none.ended(0, 1, Outcome::unreachable, 1.1);
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -92,7 +92,7 @@
 
   double now = 1000;
   AdaptiveRoutingPolicy brain;
-  std::vector<Host> hosts;
+  std::vector<DiscoveredNode> hosts;
 };
 
 }  // namespace yoketurn::test
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -187,7 +187,7 @@
     Queries queries(test::settings(), chance(), now, due, actions);
     Recorder recorder({4 << 20, 0.5, 16}, {}, true, 3, now, 0);
     queries.witness(&recorder);
-    std::vector<Host> hosts;
+    std::vector<DiscoveredNode> hosts;
     for (int i = 0; i < 5; ++i) {
       hosts.push_back({i, 0, i % 3, true, 0});
       recorder.listed(i, fmt::format("n{}", i), "", true, 0, 1, now);
