--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -169,12 +169,12 @@
   std::vector<Leaf> leaves;
 };
 
-struct Why {
+struct Explanation {
   Reason reason = Reason::none;
   float a = 0, b = 0, c = 0;
 };
 
-constexpr Why why(Reason reason, double a = 0, double b = 0, double c = 0) {
+constexpr Explanation why(Reason reason, double a = 0, double b = 0, double c = 0) {
   return {reason, static_cast<float>(a), static_cast<float>(b), static_cast<float>(c)};
 }
 
@@ -183,7 +183,7 @@
   int leaf = 0;
   int node = kNone;
   int taken = kNone;  // the node that was better
-  Why why;
+  Explanation why;
 };
 
 struct Send {
@@ -191,14 +191,14 @@
   int node = kNone;
   int group = kNone;
   double timeout = 0;
-  Why why;
+  Explanation why;
   double by = std::numeric_limits<double>::infinity();  // its first byte leaves within so long, or never
 };
 
 struct Cancel {
   int leaf = 0;
   int call = 0;
-  Why why;
+  Explanation why;
 };
 
 enum class End { none, merge_whole, merge_part, reject, abort };
@@ -209,7 +209,7 @@
   std::vector<Send> sends;
   End end = End::none;
   double stay_away = 0;
-  Why why;  // of the end
+  Explanation why;  // of the end
 };
 
 // What routers tell each other: a part was sent to a node, or a call there has ended.
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -214,7 +214,7 @@
   news_.push_back({query, cancel.leaf, cancel.call, gone ? Outcome::cancelled : Outcome::unsent});
 }
 
-void Process::answer(long long query, int status, double retry_after, const Why& why, bool whole) {
+void Process::answer(long long query, int status, double retry_after, const Explanation& why, bool whole) {
   auto& held = held_.at(query);
   if (std::exchange(held.answered, true)) return;
   std::vector<int> shards;
@@ -237,11 +237,11 @@
   answer(query, 200, 0, {}, whole);
 }
 
-void Process::reject(long long query, double stay_away, const Why& why) {
+void Process::reject(long long query, double stay_away, const Explanation& why) {
   answer(query, 503, stay_away, why, false);
 }
 
-void Process::abort(long long query, const Why& why) {
+void Process::abort(long long query, const Explanation& why) {
   answer(query, 500, 0, why, false);
 }
 
--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -30,7 +30,7 @@
     std::function<FlightRef(Process&, long long request, const Send&, int leaf, int call)> send;
     std::function<bool(FlightRef)> give_up;  // whether any byte of it had gone
     std::function<bool(FlightRef)> unsent;   // whether no byte of it has; it never will then
-    std::function<void(Process&, long long request, int status, double retry_after, const Why&, bool whole,
+    std::function<void(Process&, long long request, int status, double retry_after, const Explanation&, bool whole,
                        const std::vector<int>& shards)>
         answer;
     std::function<void(Process&, const SiteNews&)> believes;
@@ -86,7 +86,7 @@
   void arm();
   void tick(int chain);
   double now() const { return engine_.now() + kZero; }
-  void answer(long long query, int status, double retry_after, const Why& why, bool whole);
+  void answer(long long query, int status, double retry_after, const Explanation& why, bool whole);
   void timed_out(long long query, int leaf, int call);
   void withdraw(long long query, int leaf, int call);
   bool drop(long long query, int leaf, int call, FlightRef& flight);
@@ -94,8 +94,8 @@
   void send(long long query, const Send& send, int call) override;
   void cancel(long long query, const Cancel& cancel) override;
   void merge(long long query, bool whole) override;
-  void reject(long long query, double stay_away, const Why& why) override;
-  void abort(long long query, const Why& why) override;
+  void reject(long long query, double stay_away, const Explanation& why) override;
+  void abort(long long query, const Explanation& why) override;
   void forget(long long query) override;
   void ended(int vertical, const Call& call) override;
 
--- a/src/emulator/town.cpp
+++ b/src/emulator/town.cpp
@@ -95,7 +95,7 @@
   };
   world_.give_up = [this](FlightRef part) { return network_->give_up(part); };
   world_.unsent = [this](FlightRef part) { return network_->unsend(part); };
-  world_.answer = [this](Process& from, long long request, int status, double retry_after, const Why& why,
+  world_.answer = [this](Process& from, long long request, int status, double retry_after, const Explanation& why,
                          bool whole, const std::vector<int>& shards) {
     answered(from, request, status, retry_after, why, whole, shards);
   };
@@ -214,7 +214,7 @@
   if (lives) process.ended(query, leaf, call, outcome);
 }
 
-void Town::answered(Process& from, long long request, int status, double retry_after, const Why& why,
+void Town::answered(Process& from, long long request, int status, double retry_after, const Explanation& why,
                     bool whole, const std::vector<int>& shards) {
   if (status == 503) ++moment().refused[why.reason];
   if (status == 500) ++moment().given_up[why.reason];
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -48,7 +48,7 @@
   }
 }
 
-Why Admission::refuse(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance,
+Explanation Admission::refuse(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance,
                       double now) {
   auto& v = verticals.of(q);
   const auto& part_work = verticals.part_work;
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -56,15 +56,15 @@
   bool repeatable(const Query& q) const { return verticals.told(q).effect == Effect::repeatable; }
   bool may_copy(const Query& q) const { return is.may_copy && repeatable(q); }
   void wake(double now);
-  Why barred(const Query& q, const Leaf& leaf, Node& node, double now);
+  Explanation barred(const Query& q, const Leaf& leaf, Node& node, double now);
   double resend_until(const Query& q, const Leaf& leaf);
-  int choose(const Query& q, int index, bool beside, double now, double& best, Why& because);
+  int choose(const Query& q, int index, bool beside, double now, double& best, Explanation& because);
   bool copy_due(const Query& q, const Leaf& leaf, double now);
   bool lost(const Query& q, const Leaf& leaf, double now);
   void place(const Query& q, int index, Decision& answer, double now);
-  Send commit(const Query& q, int leaf, int node, Why why, double now);
+  Send commit(const Query& q, int leaf, int node, Explanation why, double now);
   Decision ending(const Query& q, double now);
-  Decision give_up(const Query& q, Why why);
+  Decision give_up(const Query& q, Explanation why);
   void learn(const Query& q, const Leaf& leaf, const Call& call, double now);
 };
 
@@ -89,7 +89,7 @@
 }
 
 // The one guard that every send passes: why a part may not be sent to a node.
-Why AdaptiveRoutingPolicy::State::barred(const Query& q, const Leaf& leaf, Node& node, double now) {
+Explanation AdaptiveRoutingPolicy::State::barred(const Query& q, const Leaf& leaf, Node& node, double now) {
   if (q.ended || leaf.in || now >= verticals.last_end(q)) return why(Reason::time_over);  // rule 1
   if (leaf.attempts() >= is.max_calls) return why(Reason::calls_spent, is.max_calls);
   if (now >= resend_until(q, leaf)) return why(Reason::may_have_run);  // rule 2
@@ -114,7 +114,7 @@
 }
 
 // The node for a part, or why there is none.
-int AdaptiveRoutingPolicy::State::choose(const Query& q, int index, bool beside, double now, double& best, Why& because) {
+int AdaptiveRoutingPolicy::State::choose(const Query& q, int index, bool beside, double now, double& best, Explanation& because) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
   int chosen = kNone;
   double next = kNever;
@@ -199,7 +199,7 @@
     return judged.note(index, kNone,
                        due ? why(Reason::copies_spent, copies.recent(now), sent)
                            : why(Reason::on_time, now - leaf.calls.back().sent, of(q).delay));
-  Why because;
+  Explanation because;
   double best = 0;
   const auto node = choose(q, index, out, now, best, because);
   if (node == kNone) return judged.note(index, kNone, because);
@@ -216,7 +216,7 @@
   answer.sends.push_back(commit(q, index, node, because, now));
 }
 
-Send AdaptiveRoutingPolicy::State::commit(const Query& q, int leaf_index, int node_index, Why because, double now) {
+Send AdaptiveRoutingPolicy::State::commit(const Query& q, int leaf_index, int node_index, Explanation because, double now) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
   auto& node = at(node_index);
   nodes.touch(node_index);
@@ -240,7 +240,7 @@
           because,         resend_until(q, leaf) - now};
 }
 
-Decision AdaptiveRoutingPolicy::State::give_up(const Query& q, Why because) {
+Decision AdaptiveRoutingPolicy::State::give_up(const Query& q, Explanation because) {
   Decision answer;
   // Rule 2: a rejection says that a retry is harmless.
   const auto harmless =
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -658,21 +658,21 @@
   answer(query, 200, answer_body(whole, results));
 }
 
-void Router::reject(long long query, double stay_away, const Why& why) {
+void Router::reject(long long query, double stay_away, const Explanation& why) {
   ++figures_.rejected;
   standing_.versions().answered(held_.at(query).vertical, Act::rejected);
   tell_of("rejected", query, why);
   answer(query, 503, "rejected", stay_away);
 }
 
-void Router::abort(long long query, const Why& why) {
+void Router::abort(long long query, const Explanation& why) {
   ++figures_.aborted;
   standing_.versions().answered(held_.at(query).vertical, Act::aborted);
   tell_of("aborted", query, why);
   answer(query, 500, "aborted");
 }
 
-void Router::tell_of(std::string_view end, long long query, const Why& why) {
+void Router::tell_of(std::string_view end, long long query, const Explanation& why) {
   const auto& held = held_.at(query);
   const auto in =
       std::count_if(held.parts.begin(), held.parts.end(), [](const Part& part) { return part.in; });
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -88,8 +88,8 @@
   void send(long long query, const Send& send, int call) override;
   void cancel(long long query, const Cancel& cancel) override;
   void merge(long long query, bool whole) override;
-  void reject(long long query, double stay_away, const Why& why) override;
-  void abort(long long query, const Why& why) override;
+  void reject(long long query, double stay_away, const Explanation& why) override;
+  void abort(long long query, const Explanation& why) override;
   void forget(long long query) override;
   void ended(int vertical, const Call& call) override;
 
@@ -134,7 +134,7 @@
   void enter(Phase phase);
   void wind_up(double at);
   void tell_figures(double at);
-  void tell_of(std::string_view end, long long query, const Why& why);
+  void tell_of(std::string_view end, long long query, const Explanation& why);
 
   boost::asio::io_context& context_;
   Log& log_;
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -36,7 +36,7 @@
 
 void Recorder::decided(long long query, const Query& q, const Decision& answer, std::span<const Judged> judged,
                        double now) {
-  const auto of = [&](What what, std::uint32_t line, const Why& why, int leaf) {
+  const auto of = [&](What what, std::uint32_t line, const Explanation& why, int leaf) {
     auto e = event(what, line, static_cast<std::uint8_t>(why.reason), now);
     e.vertical = static_cast<std::int16_t>(q.vertical);
     e.query = static_cast<std::uint32_t>(query);
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -162,10 +162,10 @@
 void Instance::merge(long long query, bool whole) {
   say("answer", ids_.at(query).query, whole ? 1 : 0);
 }
-void Instance::reject(long long query, double stay_away, const Why&) {
+void Instance::reject(long long query, double stay_away, const Explanation&) {
   say("reject", ids_.at(query).query, micros(stay_away));
 }
-void Instance::abort(long long query, const Why&) {
+void Instance::abort(long long query, const Explanation&) {
   say("respond_error", ids_.at(query).query);
 }
 void Instance::forget(long long query) {
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -48,8 +48,8 @@
   void send(long long query, const Send& send, int call) override;
   void cancel(long long query, const Cancel& cancel) override;
   void merge(long long query, bool whole) override;
-  void reject(long long query, double stay_away, const Why& why) override;
-  void abort(long long query, const Why& why) override;
+  void reject(long long query, double stay_away, const Explanation& why) override;
+  void abort(long long query, const Explanation& why) override;
   void forget(long long query) override;
   void tell(const std::vector<PeerReport>& words) override;
 
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -49,8 +49,8 @@
   void send(long long, const Send& send, int call) override { sends.push_back({send.leaf, call}); }
   void cancel(long long, const Cancel& cancel) override { cancels.push_back({cancel.leaf, cancel.call}); }
   void merge(long long, bool whole) override { said += whole ? "whole " : "part "; }
-  void reject(long long, double, const Why&) override { said += "reject "; }
-  void abort(long long, const Why&) override { said += "abort "; }
+  void reject(long long, double, const Explanation&) override { said += "reject "; }
+  void abort(long long, const Explanation&) override { said += "abort "; }
   void forget(long long) override { said += "forget "; }
 
   double now = 1000;
@@ -169,10 +169,10 @@
     void merge(long long query, bool whole) override {
       said += fmt::format("answer {} {:d}\n", query * 10 + 9, whole);
     }
-    void reject(long long query, double away, const Why&) override {
+    void reject(long long query, double away, const Explanation&) override {
       said += fmt::format("reject {} {}\n", query * 10 + 9, wire::micros(away));
     }
-    void abort(long long query, const Why&) override {
+    void abort(long long query, const Explanation&) override {
       said += fmt::format("respond_error {}\n", query * 10 + 9);
     }
     void forget(long long) override {}
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -177,8 +177,8 @@
       }
       void cancel(long long, const Cancel&) override {}
       void merge(long long, bool) override {}
-      void reject(long long, double, const Why&) override {}
-      void abort(long long, const Why&) override {}
+      void reject(long long, double, const Explanation&) override {}
+      void abort(long long, const Explanation&) override {}
       void forget(long long) override {}
     } actions;
     DueTimes due;
