--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -179,7 +179,7 @@
 }
 
 // A choice that names no message: a node that is passed over for a part, or a part that waits (no node).
-struct Judged {
+struct DecisionTraceEntry {
   int leaf = 0;
   int node = kNone;
   int taken = kNone;  // the node that was better
@@ -253,7 +253,7 @@
 
   // Has what is passed over and what waits noted from now on, at most kMostJudged an answer.
   virtual void explain(bool on) = 0;
-  virtual std::span<const Judged> judged() const = 0;  // of the last answer
+  virtual std::span<const DecisionTraceEntry> judged() const = 0;  // of the last answer
   virtual long long unjudged() const = 0;              // choices there was no room to note, since the start
   virtual Belief belief(int node, double now) const = 0;
 };
@@ -276,7 +276,7 @@
   void hear(PeerReport word, double now) override;
   void believe(std::span<const SiteShare> sites) override;
   void explain(bool on) override;
-  std::span<const Judged> judged() const override;
+  std::span<const DecisionTraceEntry> judged() const override;
   long long unjudged() const override;
   Belief belief(int node, double now) const override;
 
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -95,7 +95,7 @@
   void hear(PeerReport, double) override {}
   void believe(std::span<const SiteShare>) override {}
   void explain(bool) override {}
-  std::span<const Judged> judged() const override { return {}; }
+  std::span<const DecisionTraceEntry> judged() const override { return {}; }
   long long unjudged() const override { return 0; }
   Belief belief(int, double) const override { return Belief::trusted; }
 
--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -9,7 +9,7 @@
 
 struct Judgements {
   bool on = false;
-  std::vector<Judged> all;
+  std::vector<DecisionTraceEntry> all;
   long long left_out = 0;  // for want of room
 
   void note(int leaf, int node, Explanation why) {
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -446,7 +446,7 @@
   s_->judged.on = on;
   s_->judged.all.reserve(kMostJudged);
 }
-std::span<const Judged> AdaptiveRoutingPolicy::judged() const {
+std::span<const DecisionTraceEntry> AdaptiveRoutingPolicy::judged() const {
   return s_->judged.all;
 }
 long long AdaptiveRoutingPolicy::unjudged() const {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -898,7 +898,7 @@
   const auto judged = [&](Reason reason) {
     for (const auto& j : rig.brain.judged())
       if (j.why.reason == reason) return j;
-    return Judged{kNone, kNone, kNone, {}};
+    return DecisionTraceEntry{kNone, kNone, kNone, {}};
   };
   auto first = rig.query(0, 1);
   auto answer = rig.route(first);
