--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -201,13 +201,13 @@
   Explanation why;
 };
 
-enum class End { none, merge_whole, merge_part, reject, abort };
+enum class QueryEnd { none, merge_whole, merge_part, reject, abort };
 
 // What to do for a query: cancels first, then the sends, then the end. Every named send counts as sent.
 struct Decision {
   std::vector<Cancel> cancels;
   std::vector<Send> sends;
-  End end = End::none;
+  QueryEnd end = QueryEnd::none;
   double stay_away = 0;
   Explanation why;  // of the end
 };
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -35,7 +35,7 @@
   Decision route(Query& q, double now) override {
     q.admitted = true;
     auto answer = ending(q, now);
-    if (answer.end != End::none) return answer;
+    if (answer.end != QueryEnd::none) return answer;
     for (std::size_t i = 0; i < q.leaves.size(); ++i)
       if (!q.leaves[i].in) place(q, static_cast<int>(i), answer, now);
     return answer;
@@ -124,16 +124,16 @@
     const auto& v = of(q);
     const auto over = now >= last(q);
     if (in >= v.whole - kRounding || (over && breaks(Design::Broken::whole)))
-      answer.end = End::merge_whole;
+      answer.end = QueryEnd::merge_whole;
     else if ((over || possible <= in + kRounding) && in >= v.least - kRounding)
-      answer.end = End::merge_part;
+      answer.end = QueryEnd::merge_part;
     else if (over || possible < v.least - kRounding) {
       const auto harmless =
           v.effect == Effect::repeatable ||
           std::all_of(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) {
             return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
           });
-      answer.end = harmless ? End::reject : End::abort;
+      answer.end = harmless ? QueryEnd::reject : QueryEnd::abort;
       answer.stay_away = is_.max_stay_away;
       answer.why = why(over ? Reason::time_over : Reason::cannot_reach);
     }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -248,7 +248,7 @@
       std::all_of(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) {
         return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
       });
-  answer.end = harmless ? End::reject : End::abort;
+  answer.end = harmless ? QueryEnd::reject : QueryEnd::abort;
   answer.stay_away = is.max_stay_away;
   answer.why = because;
   return answer;
@@ -274,7 +274,7 @@
   const auto enough =
       q.awaited == 0 && now_in >= v.least - kRounding && (q.step == 1 || v.least < v.whole || second_in);
   if (whole) {
-    answer.end = q.step == 1 || q.first_whole ? End::merge_whole : End::merge_part;
+    answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_whole : QueryEnd::merge_part;
     answer.why = why(Reason::whole, now_in);
     return answer;
   }
@@ -283,7 +283,7 @@
   const auto late = now >= verticals.slo_end(q);
   const auto over = now >= verticals.last_end(q);
   if (enough && (settled || over || (late && v.partial_earns * now_in > v.late_utility))) {
-    answer.end = End::merge_part;
+    answer.end = QueryEnd::merge_part;
     answer.why = why(Reason::share, now_in);
     return answer;
   }
@@ -351,13 +351,13 @@
   s.judged.all.clear();
   if (!q.admitted) s.admission.date(q, s.of(q), s.standstill, now);
   auto answer = s.ending(q, now);
-  if (answer.end == End::merge_whole || answer.end == End::merge_part ||
-      (answer.end != End::none && q.admitted)) {
-    const auto bound = answer.end == End::reject || answer.end == End::abort;
+  if (answer.end == QueryEnd::merge_whole || answer.end == QueryEnd::merge_part ||
+      (answer.end != QueryEnd::none && q.admitted)) {
+    const auto bound = answer.end == QueryEnd::reject || answer.end == QueryEnd::abort;
     if (bound || q.step == 2 || s.verticals.steps(q) == 1)
       s.of(q).query_times.add(now, {now - q.taken, bound});
   }
-  if (answer.end != End::none || q.awaited > 0) return answer;
+  if (answer.end != QueryEnd::none || q.awaited > 0) return answer;
   if (!q.admitted) {
     const auto refused =
         q.barred != Reason::none ? why(q.barred) : s.admission.refuse(q, s.verticals, s.nodes, s.chance, now);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -36,7 +36,7 @@
     const auto won = rig.settle(q, 0, Outcome::success, 1);
     REQUIRE(won.cancels.size() == 1);
     CHECK(won.cancels[0].call == 0);
-    CHECK(rig.route(q).end == End::merge_whole);
+    CHECK(rig.route(q).end == QueryEnd::merge_whole);
   }
 }
 
@@ -267,7 +267,7 @@
   int refused = 0;
   for (int i = 0; i < 20; ++i) {
     auto q = rig.query(1, 1);
-    refused += rig.route(q).end == End::reject;
+    refused += rig.route(q).end == QueryEnd::reject;
   }
   CHECK(refused == 0);
 }
@@ -304,7 +304,7 @@
     CHECK(rig.route(q).sends.size() == 300);
     rig.pass(0.1);
     for (int i = 0; i < 300; ++i) rig.settle(q, i, Outcome::success);
-    CHECK(rig.route(q).end == End::merge_whole);
+    CHECK(rig.route(q).end == QueryEnd::merge_whole);
     for (auto& host : rig.hosts) host.up = (host.node + round) % 3 != 0;
     rig.brain.list(rig.hosts, false);
   }
@@ -392,15 +392,15 @@
     Outcome outcome;
     double after;
     bool resent;
-    End end;
+    QueryEnd end;
   };
   const Row rows[] = {
-      {0, Outcome::failure, 0.1, true, End::reject},    {1, Outcome::failure, 0.1, true, End::abort},
-      {1, Outcome::failure, 1.99, false, End::abort},   {1, Outcome::overloaded, 1.99, true, End::reject},
-      {2, Outcome::failure, 0.1, false, End::abort},    {2, Outcome::broken, 0.1, false, End::abort},
-      {2, Outcome::timed_out, 0.1, false, End::abort},  {2, Outcome::cancelled, 0.1, false, End::abort},
-      {2, Outcome::overloaded, 0.1, true, End::reject}, {2, Outcome::unreachable, 0.1, true, End::reject},
-      {2, Outcome::unsent, 0.1, true, End::reject},
+      {0, Outcome::failure, 0.1, true, QueryEnd::reject},    {1, Outcome::failure, 0.1, true, QueryEnd::abort},
+      {1, Outcome::failure, 1.99, false, QueryEnd::abort},   {1, Outcome::overloaded, 1.99, true, QueryEnd::reject},
+      {2, Outcome::failure, 0.1, false, QueryEnd::abort},    {2, Outcome::broken, 0.1, false, QueryEnd::abort},
+      {2, Outcome::timed_out, 0.1, false, QueryEnd::abort},  {2, Outcome::cancelled, 0.1, false, QueryEnd::abort},
+      {2, Outcome::overloaded, 0.1, true, QueryEnd::reject}, {2, Outcome::unreachable, 0.1, true, QueryEnd::reject},
+      {2, Outcome::unsent, 0.1, true, QueryEnd::reject},
   };
   for (const auto& row : rows) {
     CAPTURE(row.vertical);
@@ -418,7 +418,7 @@
     }
     if (!q.ended) rig.now = q.expires;
     const auto end = q.ended ? answer.end : rig.route(q).end;
-    if (end != End::none) CHECK(end == row.end);
+    if (end != QueryEnd::none) CHECK(end == row.end);
   }
 }
 
@@ -636,14 +636,14 @@
 TEST_CASE("rule 5: merged whole only if whole, in part only from the least share") {
   struct Row {
     int in;
-    End before, after;  // the SLO time
+    QueryEnd before, after;  // the SLO time
   };
   auto s = settings();
   s.verticals[0].late_utility = 0;
   s.verticals[0].least = 0.5;
   s.verticals[0].partial_earns = 0.9;
-  for (const auto& row : {Row{1, End::none, End::reject}, Row{2, End::none, End::merge_part},
-                          Row{4, End::merge_whole, End::merge_whole}}) {
+  for (const auto& row : {Row{1, QueryEnd::none, QueryEnd::reject}, Row{2, QueryEnd::none, QueryEnd::merge_part},
+                          Row{4, QueryEnd::merge_whole, QueryEnd::merge_whole}}) {
     CAPTURE(row.in);
     for (const bool late : {false, true}) {
       Rig rig(s);
@@ -666,12 +666,12 @@
     q.first_whole = first_whole;
     q.leaves[0].in = true;
     q.awaited = 1;
-    CHECK(rig.route(q).end == End::none);
+    CHECK(rig.route(q).end == QueryEnd::none);
     q.leaves.push_back({0, 1, 0, 2, false, {}});
     q.awaited = 0;
     CHECK(rig.route(q).sends.size() == 1);
     rig.settle(q, 1, Outcome::success);
-    CHECK(rig.route(q).end == (first_whole ? End::merge_whole : End::merge_part));
+    CHECK(rig.route(q).end == (first_whole ? QueryEnd::merge_whole : QueryEnd::merge_part));
   }
 }
 
@@ -727,8 +727,8 @@
   for (int i = 0; i < 400; ++i) {
     auto q = rig.query(i % 2, 1);
     const auto answer = rig.route(q);
-    refused[i % 2] += answer.end == End::reject;
-    CHECK((answer.end == End::reject) == answer.sends.empty());
+    refused[i % 2] += answer.end == QueryEnd::reject;
+    CHECK((answer.end == QueryEnd::reject) == answer.sends.empty());
     if (!q.ended) rig.settle(q, 0, Outcome::cancelled);
   }
   CHECK(refused[0] > 20);
@@ -749,7 +749,7 @@
     int refused = 0;
     for (int i = 0; i < 20; ++i) {
       auto q = rig.query(0, 1, time);
-      refused += rig.route(q).end == End::reject;
+      refused += rig.route(q).end == QueryEnd::reject;
       if (!q.ended) rig.settle(q, 0, Outcome::success);
     }
     CHECK((time < 0.4 ? refused >= 10 : refused == 0));
@@ -762,7 +762,7 @@
     int refused = 0;
     for (int i = 0; i < 60; ++i) {
       auto q = rig.query(0, 1);
-      refused += rig.route(q).end == End::reject;
+      refused += rig.route(q).end == QueryEnd::reject;
       rig.now += 0.005;
       for (int tries = 0; tries < 3 && !q.ended; ++tries) {
         rig.settle(q, 0, outcome);
@@ -811,7 +811,7 @@
     int refused = 0;
     for (int i = 0; i < burst; ++i) {
       auto q = rig.query(0, 4);
-      refused += rig.route(q).end == End::reject;
+      refused += rig.route(q).end == QueryEnd::reject;
     }
     CHECK((burst > 2 ? refused > 20 : refused == 0));
   }
@@ -825,7 +825,7 @@
     for (int i = 0; i < 40; ++i) {
       auto q = rig.query(0, parts);
       const auto answer = rig.route(q);
-      refused += answer.end == End::reject;
+      refused += answer.end == QueryEnd::reject;
       rig.pass(0.05);
       for (const auto& send : answer.sends)
         if (send.leaf % 5 != 0) rig.settle(q, send.leaf, Outcome::success, 0);
@@ -846,8 +846,8 @@
     for (int i = 0; i < 60; ++i) {
       auto q = rig.query(0, 9);
       const auto answer = rig.route(q);
-      refused += answer.end == End::reject;
-      if (answer.end == End::reject) CHECK(answer.stay_away == stay_away);
+      refused += answer.end == QueryEnd::reject;
+      if (answer.end == QueryEnd::reject) CHECK(answer.stay_away == stay_away);
       rig.pass(0.59);
       for (const auto& send : answer.sends) rig.settle(q, send.leaf, Outcome::success, 0);
     }
@@ -1038,7 +1038,7 @@
   town.site_1({true, false, 0, town.now});
   auto q = town.query(0, 1);
   const auto answer = town.route(q);
-  CHECK(answer.end == End::reject);
+  CHECK(answer.end == QueryEnd::reject);
   CHECK(answer.why.reason == Reason::out_of_reach);
   CHECK(answer.stay_away > 0);
   // A process that began since the loss is not judged by it.
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -56,7 +56,7 @@
     auto answer = brain.route(q, now);
     for (const auto& send : answer.sends)
       leaf(q, send.leaf).calls.push_back({send.node, send.group, now, Outcome::pending});
-    if (answer.end != End::none) q.ended = true;
+    if (answer.end != QueryEnd::none) q.ended = true;
     return answer;
   }
 
