--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -227,7 +227,7 @@
 };
 
 // What is believed of a node.
-enum class Belief : std::uint8_t { unheard, trusted, cold, suspect, on_trial };
+enum class NodeHealth : std::uint8_t { unheard, trusted, cold, suspect, on_trial };
 
 // What is asked of whoever decides; `Brain` is the module. Others stand in its place where designs are
 // compared.
@@ -255,7 +255,7 @@
   virtual void explain(bool on) = 0;
   virtual std::span<const DecisionTraceEntry> judged() const = 0;  // of the last answer
   virtual long long unjudged() const = 0;              // choices there was no room to note, since the start
-  virtual Belief belief(int node, double now) const = 0;
+  virtual NodeHealth belief(int node, double now) const = 0;
 };
 
 class AdaptiveRoutingPolicy final : public RoutingPolicy {
@@ -278,7 +278,7 @@
   void explain(bool on) override;
   std::span<const DecisionTraceEntry> judged() const override;
   long long unjudged() const override;
-  Belief belief(int node, double now) const override;
+  NodeHealth belief(int node, double now) const override;
 
  private:
   struct State;
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -452,13 +452,13 @@
 long long AdaptiveRoutingPolicy::unjudged() const {
   return s_->judged.left_out;
 }
-Belief AdaptiveRoutingPolicy::belief(int number, double now) const {
+NodeHealth AdaptiveRoutingPolicy::belief(int number, double now) const {
   const auto& nodes = s_->nodes;
-  if (static_cast<std::size_t>(number) >= nodes.all.size()) return Belief::unheard;
+  if (static_cast<std::size_t>(number) >= nodes.all.size()) return NodeHealth::unheard;
   const auto& node = nodes.all[static_cast<std::size_t>(number)];
   if (node.suspect)
-    return nodes.shunned(node, now) && node.waiting.empty() ? Belief::suspect : Belief::on_trial;
-  if (nodes.cold.is(node, now)) return Belief::cold;
-  return node.latency > 0 ? Belief::trusted : Belief::unheard;
+    return nodes.shunned(node, now) && node.waiting.empty() ? NodeHealth::suspect : NodeHealth::on_trial;
+  if (nodes.cold.is(node, now)) return NodeHealth::cold;
+  return node.latency > 0 ? NodeHealth::trusted : NodeHealth::unheard;
 }
 }  // namespace yoketurn
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -49,7 +49,7 @@
   bool tick(double now);
   Sites& sites() { return sites_; }
   double period() const { return decisions_->period(); }
-  Belief belief(int node, double now) const { return decisions_->belief(node, now); }
+  NodeHealth belief(int node, double now) const { return decisions_->belief(node, now); }
   long long unjudged() const { return decisions_->unjudged(); }
   void witness(Witness* witness) {  // is told of everything from now on; nullptr: nobody is
     witness_ = witness;
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -131,7 +131,7 @@
   node = {};
 }
 
-void Recorder::believed(int number, Belief belief, double now) {
+void Recorder::believed(int number, NodeHealth belief, double now) {
   auto& node = at(number);
   if (node.belief == belief) return;
   node.belief = belief;
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -28,7 +28,7 @@
               long long version, double now);
   void left(int node, long long version, double now);  // gone, as told
   void forgotten(int node, double now);                // its number may be given again
-  void believed(int node, Belief belief, double now);
+  void believed(int node, NodeHealth belief, double now);
   void load_asked(int node, double now);
   void load_answered(int node, double now);  // whatever it says
   void reported(int node, double in_flight, double queue, double measured, Report kind, double now);
@@ -55,7 +55,7 @@
     std::string name;
     double born = 0;
     int told = -1;  // 1: up
-    Belief belief = Belief::unheard;
+    NodeHealth belief = NodeHealth::unheard;
     double in_flight = -1, queue = -1, measured = 0;
   };
   Node& at(int node);
