--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -24,7 +24,7 @@
   const auto seed = mixed(seed_ + life_);
   auto decisions = world_.decide(seed);
   if (!decisions) decisions = std::make_unique<AdaptiveRoutingPolicy>(settings_, seed, now());
-  Actions& actions = *this;
+  QueryActions& actions = *this;
   queries_ = std::make_unique<Queries>(std::move(decisions), settings_, seed, due_, actions);
   queries_->sites().on(plan_);
   ready_ = stopped_ = ending_ = false;
--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -23,7 +23,7 @@
   double work = 0;  // hint, of a part
 };
 
-class Process : private Actions {
+class Process : private QueryActions {
  public:
   // What it does to the world.
   struct World {
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -16,9 +16,9 @@
 
 // What is to be done for the queries; whoever reads and writes messages carries it out. It must not call the
 // queries back from here.
-class Actions {
+class QueryActions {
  public:
-  virtual ~Actions() = default;
+  virtual ~QueryActions() = default;
   virtual void send(long long query, const Send& send, int call) = 0;
   virtual void cancel(long long query, const Cancel& cancel) = 0;
   virtual void merge(long long query, bool whole) = 0;  // of a first step: its second step is awaited then
@@ -31,10 +31,10 @@
 
 class Queries {
  public:
-  Queries(const Settings& settings, std::uint64_t seed, double now, DueTimes& due, Actions& actions);
+  Queries(const Settings& settings, std::uint64_t seed, double now, DueTimes& due, QueryActions& actions);
   // With others in the place of the module.
   Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed, DueTimes& due,
-          Actions& actions);
+          QueryActions& actions);
 
   void list(std::span<const DiscoveredNode> hosts, bool complete, double now, bool told = true) {
     decisions_->list(hosts, complete, told);
@@ -86,7 +86,7 @@
   std::unique_ptr<RoutingPolicy> decisions_;
   Sites sites_;
   DueTimes& due_;
-  Actions& actions_;
+  QueryActions& actions_;
   Witness* witness_ = nullptr;
   std::vector<int> second_steps_;
   std::map<long long, std::unique_ptr<Held>> held_;
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -22,7 +22,7 @@
   double born = 0;
 };
 
-class Instance : private Actions {
+class Instance : private QueryActions {
  public:
   Instance(std::string name, std::uint64_t seed, const Pairs& setup, double now);
 
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // Queries with what they want done written down.
-struct Desk : Actions {
+struct Desk : QueryActions {
   explicit Desk(const Settings& s = settings()) : queries(s, 7, now, due, *this) {
     std::vector<DiscoveredNode> hosts;
     for (int i = 0; i < 3; ++i) hosts.push_back({i, 0, i, true, 0});
@@ -158,7 +158,7 @@
   constexpr int kFailures = 3;
   const char* failures[kFailures] = {"failure", "overloaded", "broken"};
   const char* verticals[] = {"look", "change", "book"};
-  struct Recorder : Actions {
+  struct Recorder : QueryActions {
     void send(long long query, const Send& send, int call) override {
       said += fmt::format("place {} {} {}\n", query * 10 + send.leaf, wire::micros(send.timeout), send.node);
       out.push_back({query, send.leaf, send.node, call});
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -168,7 +168,7 @@
 
 TEST_CASE("calls sent are outcomes and those still out, for each node at each moment") {
   const auto good = rc::check("calls", [] {
-    struct Counting : Actions {
+    struct Counting : QueryActions {
       std::map<int, int> out;
       std::vector<std::tuple<long long, int, int, int>> calls;  // query, leaf, call, node
       void send(long long query, const Send& send, int call) override {
