--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -51,7 +51,7 @@
   double period() const { return decisions_->period(); }
   NodeHealth belief(int node, double now) const { return decisions_->belief(node, now); }
   long long unjudged() const { return decisions_->unjudged(); }
-  void witness(Witness* witness) {  // is told of everything from now on; nullptr: nobody is
+  void witness(QueryObserver* witness) {  // is told of everything from now on; nullptr: nobody is
     witness_ = witness;
     decisions_->explain(witness != nullptr);
   }
@@ -87,7 +87,7 @@
   Sites sites_;
   DueTimes& due_;
   QueryActions& actions_;
-  Witness* witness_ = nullptr;
+  QueryObserver* witness_ = nullptr;
   std::vector<int> second_steps_;
   std::map<long long, std::unique_ptr<Held>> held_;
   std::vector<long long> touched_;
--- a/src/queries/witness.hpp
+++ b/src/queries/witness.hpp
@@ -7,9 +7,9 @@
 
 namespace yoketurn {
 
-class Witness {
+class QueryObserver {
  public:
-  virtual ~Witness() = default;
+  virtual ~QueryObserver() = default;
   // Before the answer is carried out; the number of a send's call is that of the calls the part has had.
   virtual void decided(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
                        double now) = 0;
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -14,7 +14,7 @@
 
 namespace yoketurn {
 
-class Recorder : public Witness {
+class Recorder : public QueryObserver {
  public:
   Recorder(const Timeline::Budget& budget, const DepartureLimits& limits, bool departures, int verticals,
            double now, double unix_at_zero);
