--- a/src/clients/connection.cpp
+++ b/src/clients/connection.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-ClientConnection::ClientConnection(asio::ip::tcp::socket socket, DueTimes& due, Owner& owner, int id)
+ClientConnection::ClientConnection(asio::ip::tcp::socket socket, TimerQueue& due, Owner& owner, int id)
     : socket_(std::move(socket)),
       due_(due),
       owner_(owner),
--- a/src/clients/connection.hpp
+++ b/src/clients/connection.hpp
@@ -29,7 +29,7 @@
     virtual bool keeps() const = 0;  // whether connections stay open after an answer
   };
 
-  ClientConnection(boost::asio::ip::tcp::socket socket, DueTimes& due, Owner& owner, int id);
+  ClientConnection(boost::asio::ip::tcp::socket socket, TimerQueue& due, Owner& owner, int id);
 
   void start();
   void answer(int status, std::string_view body, double retry_after = 0);
@@ -69,10 +69,10 @@
   void lost();
 
   boost::asio::ip::tcp::socket socket_;
-  DueTimes& due_;
+  TimerQueue& due_;
   Owner& owner_;
   int id_;
-  DueTimes::Key due_key_;
+  TimerQueue::Key due_key_;
   State state_ = State::reading;
   bool begun_ = false;
   bool keep_alive_ = true;
--- a/src/clients/listener.cpp
+++ b/src/clients/listener.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Listener::Listener(asio::io_context& context, DueTimes& due, std::size_t most_connections,
+Listener::Listener(asio::io_context& context, TimerQueue& due, std::size_t most_connections,
                    std::size_t room_from, Log& log, Asker& asker)
     : context_(context),
       acceptor_(context),
--- a/src/clients/listener.hpp
+++ b/src/clients/listener.hpp
@@ -25,7 +25,7 @@
   };
 
   // From room_from connections on, each new one has one that waits for a request closed for it.
-  Listener(boost::asio::io_context& context, DueTimes& due, std::size_t most_connections,
+  Listener(boost::asio::io_context& context, TimerQueue& due, std::size_t most_connections,
            std::size_t room_from, Log& log, Asker& asker);
   ~Listener();
 
@@ -54,8 +54,8 @@
 
   boost::asio::io_context& context_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  DueTimes& due_;
-  DueTimes::Key due_key_;
+  TimerQueue& due_;
+  TimerQueue::Key due_key_;
   std::size_t most_connections_;
   std::size_t room_from_;
   Log& log_;
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-NodeConnection::NodeConnection(asio::io_context& context, DueTimes& due, const Limits& limits, Owner& owner,
+NodeConnection::NodeConnection(asio::io_context& context, TimerQueue& due, const Limits& limits, Owner& owner,
                                int node)
     : socket_(context),
       due_(due),
--- a/src/datanodes/connection.hpp
+++ b/src/datanodes/connection.hpp
@@ -53,7 +53,7 @@
     virtual void reported(NodeConnection& connection, std::string_view report, double asked) = 0;
   };
 
-  NodeConnection(boost::asio::io_context& context, DueTimes& due, const Limits& limits, Owner& owner,
+  NodeConnection(boost::asio::io_context& context, TimerQueue& due, const Limits& limits, Owner& owner,
                  int node);
 
   void open(const boost::asio::ip::tcp::endpoint& at);
@@ -111,11 +111,11 @@
   void touch_due(double at);
 
   boost::asio::ip::tcp::socket socket_;
-  DueTimes& due_;
+  TimerQueue& due_;
   Limits limits_;
   Owner& owner_;
   int node_;
-  DueTimes::Key due_key_;
+  TimerQueue::Key due_key_;
   State state_ = State::fresh;
   bool retired_ = false;
   bool awaits_writable_ = false;
--- a/src/datanodes/pool.cpp
+++ b/src/datanodes/pool.cpp
@@ -6,7 +6,7 @@
 
 namespace yoketurn {
 
-Pool::Pool(boost::asio::io_context& context, DueTimes& due, const NodeConnection::Limits& limits,
+Pool::Pool(boost::asio::io_context& context, TimerQueue& due, const NodeConnection::Limits& limits,
            std::size_t most_connections, Log& log, Listener& listener)
     : context_(context),
       due_(due),
--- a/src/datanodes/pool.hpp
+++ b/src/datanodes/pool.hpp
@@ -26,7 +26,7 @@
     virtual void no_room() = 0;  // for a connection
   };
 
-  Pool(boost::asio::io_context& context, DueTimes& due, const NodeConnection::Limits& limits,
+  Pool(boost::asio::io_context& context, TimerQueue& due, const NodeConnection::Limits& limits,
        std::size_t most_connections, Log& log, Listener& listener);
   ~Pool();
 
@@ -51,7 +51,7 @@
   struct Out {
     std::weak_ptr<NodeConnection> connection;
     std::string id;
-    DueTimes::Key due = 0, by = 0;
+    TimerQueue::Key due = 0, by = 0;
   };
 
   void withdraw(const CallRef& ref);
@@ -65,7 +65,7 @@
   bool make_room();
 
   boost::asio::io_context& context_;
-  DueTimes& due_;
+  TimerQueue& due_;
   NodeConnection::Limits limits_;
   std::size_t most_connections_;
   Log& log_;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -128,7 +128,7 @@
   std::size_t list_size = 0;        // its bytes so far
 };
 
-Watch::Watch(asio::io_context& context, DueTimes& due, const asio::ip::tcp::endpoint& agent, Log& log,
+Watch::Watch(asio::io_context& context, TimerQueue& due, const asio::ip::tcp::endpoint& agent, Log& log,
              Listener& listener)
     : context_(context),
       due_(due),
--- a/src/discovery/watch.hpp
+++ b/src/discovery/watch.hpp
@@ -32,7 +32,7 @@
     virtual void unusable() = 0;                           // a list that could not be read
   };
 
-  Watch(boost::asio::io_context& context, DueTimes& due, const boost::asio::ip::tcp::endpoint& agent,
+  Watch(boost::asio::io_context& context, TimerQueue& due, const boost::asio::ip::tcp::endpoint& agent,
         Log& log, Listener& listener);
   ~Watch();
 
@@ -54,11 +54,11 @@
   void lost(std::string_view why);
 
   boost::asio::io_context& context_;
-  DueTimes& due_;
+  TimerQueue& due_;
   boost::asio::ip::tcp::endpoint agent_;
   Log& log_;
   Listener& listener_;
-  DueTimes::Key due_key_;
+  TimerQueue::Key due_key_;
   std::optional<long long> version_;
   std::shared_ptr<Connection> connection_;
   bool nonsense_ = false;  // the last list could not be used: the whole one is asked for again
--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -66,7 +66,7 @@
   struct Part {
     int leaf, call;
     FlightRef flight;
-    DueTimes::Key due, by;
+    TimerQueue::Key due, by;
   };
   struct Held {
     long long request = 0;
@@ -105,7 +105,7 @@
   std::uint64_t seed_;
   bool plan_;
   const World& world_;
-  DueTimes due_;
+  TimerQueue due_;
   std::unique_ptr<Queries> queries_;
   std::uint32_t life_ = 0;
   bool ready_ = false, stopped_ = false, ending_ = false;
--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -10,7 +10,7 @@
 
 namespace yoketurn {
 
-class DueTimes {
+class TimerQueue {
  public:
   using Key = long long;  // one due time a key; those of the same time come in the order of their keys
   using Work = std::function<void(double now)>;
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -4,11 +4,11 @@
 
 namespace yoketurn {
 
-Queries::Queries(const Settings& settings, std::uint64_t seed, double now, DueTimes& due, QueryActions& actions)
+Queries::Queries(const Settings& settings, std::uint64_t seed, double now, TimerQueue& due, QueryActions& actions)
     : Queries(std::make_unique<AdaptiveRoutingPolicy>(settings, seed, now), settings, seed, due, actions) {}
 
 Queries::Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed,
-                 DueTimes& due, QueryActions& actions)
+                 TimerQueue& due, QueryActions& actions)
     : decisions_(std::move(decisions)), sites_(settings, seed), due_(due), actions_(actions) {
   for (const auto& vertical : settings.verticals) second_steps_.push_back(vertical.second_step);
 }
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -31,9 +31,9 @@
 
 class Queries {
  public:
-  Queries(const Settings& settings, std::uint64_t seed, double now, DueTimes& due, QueryActions& actions);
+  Queries(const Settings& settings, std::uint64_t seed, double now, TimerQueue& due, QueryActions& actions);
   // With others in the place of the module.
-  Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed, DueTimes& due,
+  Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed, TimerQueue& due,
           QueryActions& actions);
 
   void list(std::span<const DiscoveredNode> hosts, bool complete, double now, bool told = true) {
@@ -85,7 +85,7 @@
 
   std::unique_ptr<RoutingPolicy> decisions_;
   Sites sites_;
-  DueTimes& due_;
+  TimerQueue& due_;
   QueryActions& actions_;
   QueryObserver* witness_ = nullptr;
   std::vector<int> second_steps_;
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -180,7 +180,7 @@
   int disk_failures_ = 0;
 
   // These tell of what they hold when they end, so all that is told of outlives them.
-  DueTimes due_;
+  TimerQueue due_;
   Queries queries_;
   Pool pool_;
   yoketurn::Listener clients_;
--- a/src/timeline/server.cpp
+++ b/src/timeline/server.cpp
@@ -232,8 +232,8 @@
 
   asio::ip::tcp::socket socket_;
   TimelineServer* owner_;
-  DueTimes& due_;
-  DueTimes::Key due_key_;
+  TimerQueue& due_;
+  TimerQueue::Key due_key_;
   std::array<char, kHead> in_{};
   std::size_t held_ = 0;
   http::request_parser<http::string_body> parser_;
@@ -244,7 +244,7 @@
   std::string wanted_, piece_;
 };
 
-TimelineServer::TimelineServer(asio::io_context& context, DueTimes& due, const asio::ip::tcp::endpoint& at,
+TimelineServer::TimelineServer(asio::io_context& context, TimerQueue& due, const asio::ip::tcp::endpoint& at,
                                int readers, Source source, VersionsSource versions)
     : context_(context),
       acceptor_(context),
--- a/src/timeline/server.hpp
+++ b/src/timeline/server.hpp
@@ -20,7 +20,7 @@
   using VersionsSource = std::function<VersionsView()>;
 
   // Throws if it can't listen there.
-  TimelineServer(boost::asio::io_context& context, DueTimes& due, const boost::asio::ip::tcp::endpoint& at,
+  TimelineServer(boost::asio::io_context& context, TimerQueue& due, const boost::asio::ip::tcp::endpoint& at,
                  int readers, Source source, VersionsSource versions = {});
   ~TimelineServer();
   boost::asio::ip::tcp::endpoint at() const { return acceptor_.local_endpoint(); }
@@ -34,7 +34,7 @@
 
   boost::asio::io_context& context_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  DueTimes& due_;
+  TimerQueue& due_;
   int most_;
   Source source_;
   VersionsSource versions_;
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -54,7 +54,7 @@
   void tell(const std::vector<PeerReport>& words) override;
 
   std::string name_;
-  DueTimes due_;
+  TimerQueue due_;
   Queries queries_;
   Names verticals_, customers_, zones_;
   std::unordered_map<long long, int> nodes_;
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -82,7 +82,7 @@
     REQUIRE(ends.ended.size() == many);
   }
   boost::asio::io_context& context;
-  DueTimes due;
+  TimerQueue due;
   Ends ends;
   Log log{stderr, {false, spdlog::level::off, 16}};
   Pool pool{context, due, {10, 1, 1, 15}, 10, log, ends};
--- a/tests/node_connection_test.cpp
+++ b/tests/node_connection_test.cpp
@@ -93,7 +93,7 @@
 
   asio::io_context context;
   tcp::acceptor acceptor{context, kLoopback};
-  DueTimes due;
+  TimerQueue due;
   Outcomes outcomes;
   Log log{stderr, {false, spdlog::level::off, 16}};
   NodeConnection::Limits limits;
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -54,7 +54,7 @@
   void forget(long long) override { said += "forget "; }
 
   double now = 1000;
-  DueTimes due;
+  TimerQueue due;
   Queries queries;
   std::vector<std::pair<int, int>> sends, cancels;
   std::string said;
@@ -65,7 +65,7 @@
 TEST_SUITE_BEGIN("queries");
 
 TEST_CASE("due times come in order, each once, and can be dropped or moved") {
-  DueTimes due;
+  TimerQueue due;
   std::string ran;
   const auto note = [&](const char* what) { return [&ran, what](double) { ran += what; }; };
   due.set(3, 2, note("c"));
@@ -185,7 +185,7 @@
   };
 
   Recorder recorder;
-  DueTimes due;
+  TimerQueue due;
   Queries queries(settings(pairs(setup)), 77, 1, due, recorder);
   const DiscoveredNode hosts[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
   queries.list(hosts, true, 1);
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -181,7 +181,7 @@
       void abort(long long, const Explanation&) override {}
       void forget(long long) override {}
     } actions;
-    DueTimes due;
+    TimerQueue due;
     std::mt19937 chance(*rc::gen::arbitrary<unsigned>());
     double now = 50;
     Queries queries(test::settings(), chance(), now, due, actions);
