--- a/src/estimates/samples.hpp
+++ b/src/estimates/samples.hpp
@@ -45,9 +45,9 @@
 }
 
 // Counts events in a sliding window.
-class Tally {
+class WindowCounter {
  public:
-  explicit Tally(double span = 0) : span_(span) {}
+  explicit WindowCounter(double span = 0) : span_(span) {}
   void add(double now, double count = 1) {
     recent(now);
     events_.emplace_back(now, count);
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -42,9 +42,9 @@
   Settings is;
   std::ranlux24_base chance;
   int next_group = 0;
-  Tally firsts{kWindow}, copies{kWindow};
-  Tally answered{kWindow};  // parts
-  Tally taken, extras;      // over the span of the budget
+  WindowCounter firsts{kWindow}, copies{kWindow};
+  WindowCounter answered{kWindow};  // parts
+  WindowCounter taken, extras;      // over the span of the budget
   double ticked, ask_after;
   double called;          // when the module was last called
   double standstill = 0;  // for how long the router stood still before this round
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -99,7 +99,7 @@
 
 Node Nodes::unheard() const {
   Node node;
-  node.sent = Tally(cold.fall_time);
+  node.sent = WindowCounter(cold.fall_time);
   return node;
 }
 
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -36,7 +36,7 @@
   std::multiset<double> waiting;  // when the parts that wait there were sent
   int open_group = kNone;         // the call that parts sent at open_at may join
   double open_at = -1;
-  Tally sent;                    // work, in mean parts, over the time in which a cold node may be pushed over
+  WindowCounter sent;                    // work, in mean parts, over the time in which a cold node may be pushed over
   double credit = 0;             // parts that it may be sent now, while it is cold and they are spaced out
   double credited = 0;           // when that was last looked at
   std::multiset<double> others;  // when others sent the parts that they have waiting there, as they tell
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -14,7 +14,7 @@
 // A node that has just started, of which so many parts of mean work are allowed to all routers in a window.
 struct Started {
   Started(int routers, double allowed) : cold(settings_for(routers)) {
-    node.sent = Tally(cold.fall_time);
+    node.sent = WindowCounter(cold.fall_time);
     node.born = kStarted;
     cold.node_rate = allowed / cold.start / cold.rate / cold.fall_time / routers;
   }
@@ -72,7 +72,7 @@
     for (int n = 0; n < 1.2 * kAllowed * kWindows; ++n)
       wishes.emplace_back(kStarted + moment(chance), any_router(chance));
     std::sort(wishes.begin(), wishes.end());
-    Tally arrived(1);
+    WindowCounter arrived(1);
     double most = 0;
     for (const auto& [now, i] : wishes) {
       auto& router = routers[i];
