--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -237,7 +237,7 @@
   std::vector<DiscoveredNode> hosts_;
   std::vector<std::vector<int>> by_cell_;
   std::map<int, int> out_, turn_;
-  Window latencies_{kWindow};
+  SampleWindow latencies_{kWindow};
   WindowCounter sent_{kWindow}, copied_{kWindow};
   double late_ = kStartDelay;
   int next_group_ = 0;
--- a/src/estimates/samples.hpp
+++ b/src/estimates/samples.hpp
@@ -68,9 +68,9 @@
 };
 
 // The samples of a sliding window.
-class Window {
+class SampleWindow {
  public:
-  explicit Window(double span) : span_(span) {}
+  explicit SampleWindow(double span) : span_(span) {}
   void add(double now, Sample sample) { samples_.emplace_back(now, sample); }
   std::vector<Sample> recent(double now) {
     while (!samples_.empty() && samples_.front().first < now - span_) samples_.pop_front();
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -46,7 +46,7 @@
 
 // The nodes of one zone, as this router reaches them.
 struct Way {
-  Window latencies{kStrainWindow};
+  SampleWindow latencies{kStrainWindow};
   double delay = 0;  // by which its quick answers come later than those of the nearest zone
 };
 
--- a/src/policy/verticals.hpp
+++ b/src/policy/verticals.hpp
@@ -22,12 +22,12 @@
   double delay;          // the hedge delay
   double lost = kNever;  // the age from which an unanswered part is lost, not slow
   double quick = 0;      // mean latency of the quicker half of its answers of late; 0: none
-  Window latencies{kWindow};
+  SampleWindow latencies{kWindow};
   std::multiset<Out> waiting;  // its parts that are out
   double try_time = 0;         // what clients leave a query, near the longest
   Smoothed query_work{kAverageWeight};
-  Window query_times{kWindow};
-  Window strain{kStrainWindow};  // part latencies to usual_step
+  SampleWindow query_times{kWindow};
+  SampleWindow strain{kStrainWindow};  // part latencies to usual_step
 };
 
 struct Verticals {
