--- a/src/estimates/samples.hpp
+++ b/src/estimates/samples.hpp
@@ -86,9 +86,9 @@
 
 // A smoothed average. The first samples weigh as in a plain mean: a router that sees a query a second would
 // else go by its very first one for a minute.
-class Smoothed {
+class SmoothedMean {
  public:
-  explicit Smoothed(double weight) : most_(1 / weight) {}  // of a new sample, once there are enough
+  explicit SmoothedMean(double weight) : most_(1 / weight) {}  // of a new sample, once there are enough
   void add(double sample) {
     many_ = std::min(many_ + 1, most_);
     value_ += (sample - value_) / many_;
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -20,7 +20,7 @@
   double over_share;
   bool utility_by_work;
   double strain_from;  // foretold part latency to the time of a step from which queries are refused
-  Smoothed mean_density{kAverageWeight};  // utility for a unit of work, over all queries
+  SmoothedMean mean_density{kAverageWeight};  // utility for a unit of work, over all queries
 
   static void date(Query& q, VerticalState& v, double standstill, double now);
   static double prospect(const Query& q, Verticals& verticals, double now);
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -82,8 +82,8 @@
   std::vector<Node> all;
   std::vector<Way> ways;
   std::vector<std::vector<int>> by_cell;
-  Smoothed average{kAverageWeight};  // latency of a part, over all nodes
-  Smoothed cost{kAverageWeight};     // the same with failures, each as the time it costs
+  SmoothedMean average{kAverageWeight};  // latency of a part, over all nodes
+  SmoothedMean cost{kAverageWeight};     // the same with failures, each as the time it costs
   double median = 0;                 // that of the last moments, with what is out
   double astray = kNever;            // the age from which a part that others have overtaken is lost
   double up = 0;                     // how many, as of the last tick
--- a/src/policy/relative_work.cpp
+++ b/src/policy/relative_work.cpp
@@ -10,7 +10,7 @@
 }  // namespace
 
 RelativeWork::RelativeWork(const std::vector<double>& aims) {
-  for (const auto aim : aims) classes_.push_back({aim, Smoothed(kSampleWeight)});
+  for (const auto aim : aims) classes_.push_back({aim, SmoothedMean(kSampleWeight)});
 }
 
 void RelativeWork::sent(int request_class, double now) {
@@ -24,7 +24,7 @@
 
 void RelativeWork::hinted(int request_class, double seconds) {
   auto& observed = classes_[static_cast<std::size_t>(request_class)];
-  if (!observed.has_hints) observed.seconds = Smoothed(kSampleWeight);
+  if (!observed.has_hints) observed.seconds = SmoothedMean(kSampleWeight);
   observed.has_hints = true;
   observed.seconds.add(seconds);
 }
--- a/src/policy/relative_work.hpp
+++ b/src/policy/relative_work.hpp
@@ -27,7 +27,7 @@
  private:
   struct Class {
     double aim = 0;
-    Smoothed seconds;
+    SmoothedMean seconds;
     bool has_hints = false;
     double sent = 0;  // of late, as of counted_at_
   };
--- a/src/policy/verticals.hpp
+++ b/src/policy/verticals.hpp
@@ -25,7 +25,7 @@
   SampleWindow latencies{kWindow};
   std::multiset<Out> waiting;  // its parts that are out
   double try_time = 0;         // what clients leave a query, near the longest
-  Smoothed query_work{kAverageWeight};
+  SmoothedMean query_work{kAverageWeight};
   SampleWindow query_times{kWindow};
   SampleWindow strain{kStrainWindow};  // part latencies to usual_step
 };
@@ -35,8 +35,8 @@
 
   double margin;  // by which answers come before the client's time is up
   std::vector<VerticalState> all;
-  Smoothed part_work{kAverageWeight};    // by the hints
-  Smoothed query_parts{kAverageWeight};  // of a query
+  SmoothedMean part_work{kAverageWeight};    // by the hints
+  SmoothedMean query_parts{kAverageWeight};  // of a query
   double strain = 0;                     // part latency to the time that a step has
   double typical_out = 0;                // parts out while that was measured
 
