--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -7,7 +7,7 @@
 
 namespace yoketurn::policy {
 
-struct Judgements {
+struct DecisionTrace {
   bool on = false;
   std::vector<DecisionTraceEntry> all;
   long long left_out = 0;  // for want of room
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -48,7 +48,7 @@
   double ticked, ask_after;
   double called;          // when the module was last called
   double standstill = 0;  // for how long the router stood still before this round
-  Judgements judged;
+  DecisionTrace judged;
 
   State(const Settings& s, std::uint64_t seed, double now);
   VerticalState& of(const Query& q) { return verticals.of(q); }
