--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -12,7 +12,7 @@
   std::vector<DecisionTraceEntry> all;
   long long left_out = 0;  // for want of room
 
-  void note(int leaf, int node, Explanation why) {
+  void add(int leaf, int node, Explanation why) {
     if (!on) return;
     all.size() < kMostJudged ? all.push_back({leaf, node, kNone, why}) : void(++left_out);
   }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -140,14 +140,14 @@
       if (other && again) return false;
       const auto bar = other ? why(Reason::tried) : barred(q, leaf, node, now);
       const auto of_node = other || bar.reason == Reason::down || bar.reason == Reason::cold;
-      if (of_node) judged.note(index, i, bar);
+      if (of_node) judged.add(index, i, bar);
       if (!of_node && bar.reason != Reason::none) because = bar;
       if (bar.reason != Reason::none) return false;
       const auto by_site = nodes.by_site(node, leaf.calls.empty() && repeatable(q), chance);
-      if (by_site <= 0) return judged.note(index, i, why(Reason::away, now - nodes.site(node)->since)), false;
+      if (by_site <= 0) return judged.add(index, i, why(Reason::away, now - nodes.site(node)->since)), false;
       const auto shunned = nodes.shunned(node, now);
       if (shunned)
-        judged.note(index, i,
+        judged.add(index, i,
                     why(Reason::suspect, nodes.latency(node, now), std::max(node.trial_at - now, 0.0),
                         static_cast<double>(node.waiting.size())));
       // A further call at a node under suspicion would most likely be spent in vain and keep it full.
@@ -157,7 +157,7 @@
       const auto better = value < best;
       next = better ? best : std::min(next, value);
       const auto loser = better ? chosen : i;
-      if (loser != kNone && !(shunned && loser == i)) judged.note(index, loser, why(Reason::dearer, next));
+      if (loser != kNone && !(shunned && loser == i)) judged.add(index, loser, why(Reason::dearer, next));
       if (better) {
         best = value;
         chosen = i;
@@ -196,18 +196,18 @@
   const auto copy = due && copies.recent(now) + 1 <= kCopyShare * sent;
   const auto again = out && !copy && lost(q, leaf, now);
   if (out && !copy && !again)
-    return judged.note(index, kNone,
+    return judged.add(index, kNone,
                        due ? why(Reason::copies_spent, copies.recent(now), sent)
                            : why(Reason::on_time, now - leaf.calls.back().sent, of(q).delay));
   Explanation because;
   double best = 0;
   const auto node = choose(q, index, out, now, best, because);
-  if (node == kNone) return judged.note(index, kNone, because);
+  if (node == kNone) return judged.add(index, kNone, because);
   // A copy helps where the other replica should answer within the delay that made this one late; when all are
   // slow it adds to the load. A lost part goes where it should take less than it has waited.
   const auto left = again && nodes.lost(at(leaf.calls.back().node));
   const auto bound = left ? kNever : again ? now - leaf.calls.back().sent : of(q).delay;
-  if (out && best > bound) return judged.note(index, kNone, why(Reason::none_quicker, best, bound));
+  if (out && best > bound) return judged.add(index, kNone, why(Reason::none_quicker, best, bound));
   if (again) cancel_pending(answer, leaf, index, Reason::lost_answer, now);
   because.reason = copy                 ? Reason::copy
                    : again              ? Reason::lost_again
