--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -9,18 +9,18 @@
 
 struct DecisionTrace {
   bool on = false;
-  std::vector<DecisionTraceEntry> all;
+  std::vector<DecisionTraceEntry> entries;
   long long left_out = 0;  // for want of room
 
   void add(int leaf, int node, Explanation why) {
     if (!on) return;
-    all.size() < kMostJudged ? all.push_back({leaf, node, kNone, why}) : void(++left_out);
+    entries.size() < kMostJudged ? entries.push_back({leaf, node, kNone, why}) : void(++left_out);
   }
   // All from there on were passed over for this node, at this score.
   void settle(std::size_t from, int chosen, double best) {
-    for (auto i = from; i < all.size(); ++i) {
-      all[i].taken = chosen;
-      if (all[i].why.reason == Reason::dearer) all[i].why.b = static_cast<float>(best);
+    for (auto i = from; i < entries.size(); ++i) {
+      entries[i].taken = chosen;
+      if (entries[i].why.reason == Reason::dearer) entries[i].why.b = static_cast<float>(best);
     }
   }
 };
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -120,7 +120,7 @@
   double next = kNever;
   best = kNever;
   because = why(Reason::none_left);
-  const auto noted = judged.all.size();
+  const auto noted = judged.entries.size();
   const auto tried = [&](int node) {
     return std::any_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& c) { return c.node == node; });
   };
@@ -348,7 +348,7 @@
 Decision AdaptiveRoutingPolicy::route(Query& q, double now) {
   auto& s = *s_;
   s.wake(now);
-  s.judged.all.clear();
+  s.judged.entries.clear();
   if (!q.admitted) s.admission.date(q, s.of(q), s.standstill, now);
   auto answer = s.ending(q, now);
   if (answer.end == QueryEnd::merge_whole || answer.end == QueryEnd::merge_part ||
@@ -374,7 +374,7 @@
 Decision AdaptiveRoutingPolicy::settle(Query& q, int leaf_index, int call_index, double now) {
   auto& s = *s_;
   s.wake(now);
-  s.judged.all.clear();
+  s.judged.entries.clear();
   auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
   const auto& call = leaf.calls[static_cast<std::size_t>(call_index)];
   s.learn(q, leaf, call, now);
@@ -444,10 +444,10 @@
 }
 void AdaptiveRoutingPolicy::explain(bool on) {
   s_->judged.on = on;
-  s_->judged.all.reserve(kMostJudged);
+  s_->judged.entries.reserve(kMostJudged);
 }
 std::span<const DecisionTraceEntry> AdaptiveRoutingPolicy::judged() const {
-  return s_->judged.all;
+  return s_->judged.entries;
 }
 long long AdaptiveRoutingPolicy::unjudged() const {
   return s_->judged.left_out;
