--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -10,11 +10,11 @@
 struct DecisionTrace {
   bool on = false;
   std::vector<DecisionTraceEntry> entries;
-  long long left_out = 0;  // for want of room
+  long long dropped = 0;  // for want of room
 
   void add(int leaf, int node, Explanation why) {
     if (!on) return;
-    entries.size() < kMostJudged ? entries.push_back({leaf, node, kNone, why}) : void(++left_out);
+    entries.size() < kMostJudged ? entries.push_back({leaf, node, kNone, why}) : void(++dropped);
   }
   // All from there on were passed over for this node, at this score.
   void settle(std::size_t from, int chosen, double best) {
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -450,7 +450,7 @@
   return s_->judged.entries;
 }
 long long AdaptiveRoutingPolicy::unjudged() const {
-  return s_->judged.left_out;
+  return s_->judged.dropped;
 }
 NodeHealth AdaptiveRoutingPolicy::belief(int number, double now) const {
   const auto& nodes = s_->nodes;
