--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -8,12 +8,12 @@
 namespace yoketurn::policy {
 
 struct DecisionTrace {
-  bool on = false;
+  bool enabled = false;
   std::vector<DecisionTraceEntry> entries;
   long long dropped = 0;  // for want of room
 
   void add(int leaf, int node, Explanation why) {
-    if (!on) return;
+    if (!enabled) return;
     entries.size() < kMostJudged ? entries.push_back({leaf, node, kNone, why}) : void(++dropped);
   }
   // All from there on were passed over for this node, at this score.
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -443,7 +443,7 @@
   s_->nodes.believe(sites);
 }
 void AdaptiveRoutingPolicy::explain(bool on) {
-  s_->judged.on = on;
+  s_->judged.enabled = on;
   s_->judged.entries.reserve(kMostJudged);
 }
 std::span<const DecisionTraceEntry> AdaptiveRoutingPolicy::judged() const {
