--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -17,7 +17,7 @@
     entries.size() < kMostJudged ? entries.push_back({leaf, node, kNone, why}) : void(++dropped);
   }
   // All from there on were passed over for this node, at this score.
-  void settle(std::size_t from, int chosen, double best) {
+  void set_chosen(std::size_t from, int chosen, double best) {
     for (auto i = from; i < entries.size(); ++i) {
       entries[i].taken = chosen;
       if (entries[i].why.reason == Reason::dearer) entries[i].why.b = static_cast<float>(best);
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -166,7 +166,7 @@
     });
   }
   if (chosen != kNone) because = why(Reason::none, best, next, of(q).delay);
-  judged.settle(noted, chosen, best);
+  judged.set_chosen(noted, chosen, best);
   return chosen;
 }
 
