--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -174,7 +174,7 @@
   float a = 0, b = 0, c = 0;
 };
 
-constexpr Explanation why(Reason reason, double a = 0, double b = 0, double c = 0) {
+constexpr Explanation explain(Reason reason, double a = 0, double b = 0, double c = 0) {
   return {reason, static_cast<float>(a), static_cast<float>(b), static_cast<float>(c)};
 }
 
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -54,7 +54,7 @@
     leaf.in = true;
     for (std::size_t i = 0; i < leaf.calls.size(); ++i)
       if (leaf.calls[i].pending())
-        answer.cancels.push_back({leaf_index, static_cast<int>(i), why(Reason::race_lost)});
+        answer.cancels.push_back({leaf_index, static_cast<int>(i), explain(Reason::race_lost)});
     return answer;
   }
 
@@ -135,7 +135,7 @@
           });
       answer.end = harmless ? QueryEnd::reject : QueryEnd::abort;
       answer.stay_away = is_.max_stay_away;
-      answer.why = why(over ? Reason::time_over : Reason::cannot_reach);
+      answer.why = explain(over ? Reason::time_over : Reason::cannot_reach);
     }
     return answer;
   }
@@ -182,7 +182,7 @@
     if (node == kNone) return;
     ++out_[node];
     (reason == Reason::copy ? copied_ : sent_).add(now);
-    answer.sends.push_back({index, node, next_group_++, std::max(last(q) - now, 0.001), why(reason),
+    answer.sends.push_back({index, node, next_group_++, std::max(last(q) - now, 0.001), explain(reason),
                             may_send_until(q, q.leaves[static_cast<std::size_t>(index)]) - now});
   }
 
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -83,6 +83,6 @@
                       : !reached                      ? Reason::out_of_reach
                       : 1 - hope / kHopeless >= share ? Reason::hopeless
                                                       : Reason::strained;
-  return why(reason, foretold, hope, share);
+  return explain(reason, foretold, hope, share);
 }
 }  // namespace yoketurn::policy
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -24,7 +24,7 @@
 void cancel_pending(Decision& answer, const Leaf& leaf, int index, Reason reason, double now) {
   for (std::size_t i = 0; i < leaf.calls.size(); ++i)
     if (leaf.calls[i].pending())
-      answer.cancels.push_back({index, static_cast<int>(i), why(reason, now - leaf.calls[i].sent)});
+      answer.cancels.push_back({index, static_cast<int>(i), explain(reason, now - leaf.calls[i].sent)});
 }
 
 std::vector<double> aims(const Settings& settings) {
@@ -90,16 +90,16 @@
 
 // The one guard that every send passes: why a part may not be sent to a node.
 Explanation AdaptiveRoutingPolicy::State::barred(const Query& q, const Leaf& leaf, Node& node, double now) {
-  if (q.ended || leaf.in || now >= verticals.last_end(q)) return why(Reason::time_over);  // rule 1
-  if (leaf.attempts() >= is.max_calls) return why(Reason::calls_spent, is.max_calls);
-  if (now >= resend_until(q, leaf)) return why(Reason::may_have_run);  // rule 2
-  if (!node.up) return why(Reason::down);                              // rule 3
+  if (q.ended || leaf.in || now >= verticals.last_end(q)) return explain(Reason::time_over);  // rule 1
+  if (leaf.attempts() >= is.max_calls) return explain(Reason::calls_spent, is.max_calls);
+  if (now >= resend_until(q, leaf)) return explain(Reason::may_have_run);  // rule 2
+  if (!node.up) return explain(Reason::down);                              // rule 3
   if (nodes.cold.is(node, now) &&
       !nodes.cold.allows(node, relative_work.of(q.vertical), now, chance))  // rule 4
-    return why(Reason::cold, node.sent.recent(now), nodes.cold.most(node, now));
+    return explain(Reason::cold, node.sent.recent(now), nodes.cold.most(node, now));
   if (leaf.attempts() > 0 && is.extra_span > 0) {  // rule 6
     const auto most = is.extra_free + is.extra_share * taken.recent(now);
-    if (extras.recent(now) + 1 > most) return why(Reason::extras_spent, extras.recent(now), most);
+    if (extras.recent(now) + 1 > most) return explain(Reason::extras_spent, extras.recent(now), most);
   }
   return {};
 }
@@ -119,7 +119,7 @@
   int chosen = kNone;
   double next = kNever;
   best = kNever;
-  because = why(Reason::none_left);
+  because = explain(Reason::none_left);
   const auto noted = judged.entries.size();
   const auto tried = [&](int node) {
     return std::any_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& c) { return c.node == node; });
@@ -131,24 +131,24 @@
         leaf.calls.empty() ? kNever : leaf.calls.back().sent + std::max(of(q).delay, kLeastPause);
     if (again && now < paused_until) {
       if (!leaf.calls.empty() && because.reason == Reason::none_left)
-        because = why(Reason::paused, paused_until - now);
+        because = explain(Reason::paused, paused_until - now);
       break;
     }
     nodes.any_holder(leaf, [&](int i) {
       auto& node = at(i);
       const auto other = tried(i) != again;
       if (other && again) return false;
-      const auto bar = other ? why(Reason::tried) : barred(q, leaf, node, now);
+      const auto bar = other ? explain(Reason::tried) : barred(q, leaf, node, now);
       const auto of_node = other || bar.reason == Reason::down || bar.reason == Reason::cold;
       if (of_node) judged.add(index, i, bar);
       if (!of_node && bar.reason != Reason::none) because = bar;
       if (bar.reason != Reason::none) return false;
       const auto by_site = nodes.by_site(node, leaf.calls.empty() && repeatable(q), chance);
-      if (by_site <= 0) return judged.add(index, i, why(Reason::away, now - nodes.site(node)->since)), false;
+      if (by_site <= 0) return judged.add(index, i, explain(Reason::away, now - nodes.site(node)->since)), false;
       const auto shunned = nodes.shunned(node, now);
       if (shunned)
         judged.add(index, i,
-                    why(Reason::suspect, nodes.latency(node, now), std::max(node.trial_at - now, 0.0),
+                    explain(Reason::suspect, nodes.latency(node, now), std::max(node.trial_at - now, 0.0),
                         static_cast<double>(node.waiting.size())));
       // A further call at a node under suspicion would most likely be spent in vain and keep it full.
       if (!leaf.calls.empty() && shunned) return false;
@@ -157,7 +157,7 @@
       const auto better = value < best;
       next = better ? best : std::min(next, value);
       const auto loser = better ? chosen : i;
-      if (loser != kNone && !(shunned && loser == i)) judged.add(index, loser, why(Reason::dearer, next));
+      if (loser != kNone && !(shunned && loser == i)) judged.add(index, loser, explain(Reason::dearer, next));
       if (better) {
         best = value;
         chosen = i;
@@ -165,7 +165,7 @@
       return false;
     });
   }
-  if (chosen != kNone) because = why(Reason::none, best, next, of(q).delay);
+  if (chosen != kNone) because = explain(Reason::none, best, next, of(q).delay);
   judged.set_chosen(noted, chosen, best);
   return chosen;
 }
@@ -197,8 +197,8 @@
   const auto again = out && !copy && lost(q, leaf, now);
   if (out && !copy && !again)
     return judged.add(index, kNone,
-                       due ? why(Reason::copies_spent, copies.recent(now), sent)
-                           : why(Reason::on_time, now - leaf.calls.back().sent, of(q).delay));
+                       due ? explain(Reason::copies_spent, copies.recent(now), sent)
+                           : explain(Reason::on_time, now - leaf.calls.back().sent, of(q).delay));
   Explanation because;
   double best = 0;
   const auto node = choose(q, index, out, now, best, because);
@@ -207,7 +207,7 @@
   // slow it adds to the load. A lost part goes where it should take less than it has waited.
   const auto left = again && nodes.lost(at(leaf.calls.back().node));
   const auto bound = left ? kNever : again ? now - leaf.calls.back().sent : of(q).delay;
-  if (out && best > bound) return judged.add(index, kNone, why(Reason::none_quicker, best, bound));
+  if (out && best > bound) return judged.add(index, kNone, explain(Reason::none_quicker, best, bound));
   if (again) cancel_pending(answer, leaf, index, Reason::lost_answer, now);
   because.reason = copy                 ? Reason::copy
                    : again              ? Reason::lost_again
@@ -275,7 +275,7 @@
       q.awaited == 0 && now_in >= v.least - kRounding && (q.step == 1 || v.least < v.whole || second_in);
   if (whole) {
     answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_whole : QueryEnd::merge_part;
-    answer.why = why(Reason::whole, now_in);
+    answer.why = explain(Reason::whole, now_in);
     return answer;
   }
   const auto need = q.step == 1 ? v.whole : 1;
@@ -284,12 +284,12 @@
   const auto over = now >= verticals.last_end(q);
   if (enough && (settled || over || (late && v.partial_earns * now_in > v.late_utility))) {
     answer.end = QueryEnd::merge_part;
-    answer.why = why(Reason::share, now_in);
+    answer.why = explain(Reason::share, now_in);
     return answer;
   }
   const auto least = v.least < v.whole ? v.least : need;
-  if (now_possible < least - kRounding) return give_up(q, why(Reason::cannot_reach, now_in, now_possible));
-  if (over || (late && v.late_utility <= 0)) return give_up(q, why(Reason::time_over, now_in));
+  if (now_possible < least - kRounding) return give_up(q, explain(Reason::cannot_reach, now_in, now_possible));
+  if (over || (late && v.late_utility <= 0)) return give_up(q, explain(Reason::time_over, now_in));
   return answer;
 }
 
@@ -360,7 +360,7 @@
   if (answer.end != QueryEnd::none || q.awaited > 0) return answer;
   if (!q.admitted) {
     const auto refused =
-        q.barred != Reason::none ? why(q.barred) : s.admission.refuse(q, s.verticals, s.nodes, s.chance, now);
+        q.barred != Reason::none ? explain(q.barred) : s.admission.refuse(q, s.verticals, s.nodes, s.chance, now);
     if (refused.reason != Reason::none) return s.give_up(q, refused);
   }
   if (!q.admitted)
