--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -14,7 +14,7 @@
 namespace yoketurn {
 
 inline constexpr int kNone = -1;
-inline constexpr std::size_t kMostJudged = 512;
+inline constexpr std::size_t kMaxTraceEntries = 512;
 // For so long, in seconds, a router may be held up between reading its clock and writing. Times in which
 // something may be sent end so much earlier.
 inline constexpr double kMaxSendStallSeconds = 0.15;
--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -14,7 +14,7 @@
 
   void add(int leaf, int node, Explanation why) {
     if (!enabled) return;
-    entries.size() < kMostJudged ? entries.push_back({leaf, node, kNone, why}) : void(++dropped);
+    entries.size() < kMaxTraceEntries ? entries.push_back({leaf, node, kNone, why}) : void(++dropped);
   }
   // All from there on were passed over for this node, at this score.
   void set_chosen(std::size_t from, int chosen, double best) {
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -444,7 +444,7 @@
 }
 void AdaptiveRoutingPolicy::explain(bool on) {
   s_->judged.enabled = on;
-  s_->judged.entries.reserve(kMostJudged);
+  s_->judged.entries.reserve(kMaxTraceEntries);
 }
 std::span<const DecisionTraceEntry> AdaptiveRoutingPolicy::judged() const {
   return s_->judged.entries;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -970,8 +970,8 @@
   rig.brain.explain(true);
   auto q = rig.query(0, 1);
   rig.route(q);
-  CHECK(rig.brain.judged().size() == kMostJudged);
-  CHECK(rig.brain.unjudged() == 699 - static_cast<long long>(kMostJudged));
+  CHECK(rig.brain.judged().size() == kMaxTraceEntries);
+  CHECK(rig.brain.unjudged() == 699 - static_cast<long long>(kMaxTraceEntries));
 }
 
 TEST_CASE("a module that explains decides as one that does not") {
