--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -454,11 +454,11 @@
 }
 NodeHealth AdaptiveRoutingPolicy::belief(int number, double now) const {
   const auto& nodes = s_->nodes;
-  if (static_cast<std::size_t>(number) >= nodes.all.size()) return NodeHealth::unheard;
+  if (static_cast<std::size_t>(number) >= nodes.all.size()) return NodeHealth::unknown;
   const auto& node = nodes.all[static_cast<std::size_t>(number)];
   if (node.suspect)
     return nodes.shunned(node, now) && node.waiting.empty() ? NodeHealth::suspect : NodeHealth::on_trial;
   if (nodes.cold.is(node, now)) return NodeHealth::cold;
-  return node.latency > 0 ? NodeHealth::trusted : NodeHealth::unheard;
+  return node.latency > 0 ? NodeHealth::trusted : NodeHealth::unknown;
 }
 }  // namespace yoketurn
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -55,7 +55,7 @@
     std::string name;
     double born = 0;
     int told = -1;  // 1: up
-    NodeHealth belief = NodeHealth::unheard;
+    NodeHealth belief = NodeHealth::unknown;
     double in_flight = -1, queue = -1, measured = 0;
   };
   Node& at(int node);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -1087,7 +1087,7 @@
   town.site_1({true, false, 0, town.now});
   town.pass(1);
   town.site_1({false, false, 0.25, town.now});
-  for (const int node : {3, 4, 5}) CHECK(town.brain.belief(node, town.now) == NodeHealth::unheard);
+  for (const int node : {3, 4, 5}) CHECK(town.brain.belief(node, town.now) == NodeHealth::unknown);
 }
 
 TEST_CASE("no site is judged where nothing is believed, on the same random numbers") {
