--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -227,7 +227,7 @@
 };
 
 // What is believed of a node.
-enum class NodeHealth : std::uint8_t { unknown, trusted, cold, suspect, on_trial };
+enum class NodeHealth : std::uint8_t { unknown, healthy, cold, suspect, on_trial };
 
 // What is asked of whoever decides; `Brain` is the module. Others stand in its place where designs are
 // compared.
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -97,7 +97,7 @@
   void explain(bool) override {}
   std::span<const DecisionTraceEntry> judged() const override { return {}; }
   long long unjudged() const override { return 0; }
-  NodeHealth belief(int, double) const override { return NodeHealth::trusted; }
+  NodeHealth belief(int, double) const override { return NodeHealth::healthy; }
 
  private:
   bool breaks(Design::Broken rule) const { return design_.broken == rule; }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -459,6 +459,6 @@
   if (node.suspect)
     return nodes.shunned(node, now) && node.waiting.empty() ? NodeHealth::suspect : NodeHealth::on_trial;
   if (nodes.cold.is(node, now)) return NodeHealth::cold;
-  return node.latency > 0 ? NodeHealth::trusted : NodeHealth::unknown;
+  return node.latency > 0 ? NodeHealth::healthy : NodeHealth::unknown;
 }
 }  // namespace yoketurn
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -946,7 +946,7 @@
   rig.hosts[1].born = rig.now;
   rig.brain.list(rig.hosts, true);
   CHECK(rig.brain.belief(1, rig.now) == NodeHealth::cold);
-  CHECK(rig.brain.belief(2, rig.now) == NodeHealth::trusted);
+  CHECK(rig.brain.belief(2, rig.now) == NodeHealth::healthy);
   rig.pass(0.01);
   for (int i = 0; i < 8 && judged(Reason::cold).leaf == kNone; ++i) {
     auto more = rig.query(0, 1);
