--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -136,7 +136,7 @@
   // A node is passed over.
   dearer,   // its score, that of the best
   down,     // draining or gone
-  cold,     // parts it was sent, parts it may be sent
+  slow_start,     // parts it was sent, parts it may be sent
   suspect,  // its score without the suspicion, until when it is left alone, parts waiting there
   tried,    // the part has been there
   // A query ends.
@@ -227,7 +227,7 @@
 };
 
 // What is believed of a node.
-enum class NodeHealth : std::uint8_t { unknown, healthy, cold, suspect, on_trial };
+enum class NodeHealth : std::uint8_t { unknown, healthy, slow_start, suspect, on_trial };
 
 // What is asked of whoever decides; `Brain` is the module. Others stand in its place where designs are
 // compared.
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -96,7 +96,7 @@
   if (!node.up) return explain(Reason::down);                              // rule 3
   if (nodes.cold.is(node, now) &&
       !nodes.cold.allows(node, relative_work.of(q.vertical), now, chance))  // rule 4
-    return explain(Reason::cold, node.sent.recent(now), nodes.cold.most(node, now));
+    return explain(Reason::slow_start, node.sent.recent(now), nodes.cold.most(node, now));
   if (leaf.attempts() > 0 && is.extra_span > 0) {  // rule 6
     const auto most = is.extra_free + is.extra_share * taken.recent(now);
     if (extras.recent(now) + 1 > most) return explain(Reason::extras_spent, extras.recent(now), most);
@@ -139,7 +139,7 @@
       const auto other = tried(i) != again;
       if (other && again) return false;
       const auto bar = other ? explain(Reason::tried) : barred(q, leaf, node, now);
-      const auto of_node = other || bar.reason == Reason::down || bar.reason == Reason::cold;
+      const auto of_node = other || bar.reason == Reason::down || bar.reason == Reason::slow_start;
       if (of_node) judged.add(index, i, bar);
       if (!of_node && bar.reason != Reason::none) because = bar;
       if (bar.reason != Reason::none) return false;
@@ -458,7 +458,7 @@
   const auto& node = nodes.all[static_cast<std::size_t>(number)];
   if (node.suspect)
     return nodes.shunned(node, now) && node.waiting.empty() ? NodeHealth::suspect : NodeHealth::on_trial;
-  if (nodes.cold.is(node, now)) return NodeHealth::cold;
+  if (nodes.cold.is(node, now)) return NodeHealth::slow_start;
   return node.latency > 0 ? NodeHealth::healthy : NodeHealth::unknown;
 }
 }  // namespace yoketurn
--- a/src/timeline/record.cpp
+++ b/src/timeline/record.cpp
@@ -229,7 +229,7 @@
         case Reason::suspect:
           return fmt::format("passed over{}: suspect, left alone for {}, {:g} waiting", instead, ms(e.b),
                              e.c);
-        case Reason::cold:
+        case Reason::slow_start:
           return fmt::format("passed over{}: cold, sent {:g} of {:.2f}", instead, e.a, e.b);
         case Reason::tried:
           return fmt::format("passed over{}: the part has been there", instead);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -945,16 +945,16 @@
   rig.hosts[0].up = false;
   rig.hosts[1].born = rig.now;
   rig.brain.list(rig.hosts, true);
-  CHECK(rig.brain.belief(1, rig.now) == NodeHealth::cold);
+  CHECK(rig.brain.belief(1, rig.now) == NodeHealth::slow_start);
   CHECK(rig.brain.belief(2, rig.now) == NodeHealth::healthy);
   rig.pass(0.01);
-  for (int i = 0; i < 8 && judged(Reason::cold).leaf == kNone; ++i) {
+  for (int i = 0; i < 8 && judged(Reason::slow_start).leaf == kNone; ++i) {
     auto more = rig.query(0, 1);
     rig.route(more);
   }
   CHECK(judged(Reason::down).node == 0);
-  CHECK(judged(Reason::cold).node == 1);
-  CHECK(judged(Reason::cold).why.a + 1 > judged(Reason::cold).why.b);
+  CHECK(judged(Reason::slow_start).node == 1);
+  CHECK(judged(Reason::slow_start).why.a + 1 > judged(Reason::slow_start).why.b);
 
   rig.pass(3);
   CHECK(
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -94,7 +94,7 @@
       const auto line = lines[chance() % lines.size()];
       const What kinds[] = {What::sent, What::outcome, What::passed, What::closed};
       const auto what = kinds[chance() % 4];
-      const auto why = what == What::passed ? static_cast<std::uint8_t>(Reason::cold)
+      const auto why = what == What::passed ? static_cast<std::uint8_t>(Reason::slow_start)
                        : what == What::sent ? static_cast<std::uint8_t>(1 + chance() % 4)
                                             : static_cast<std::uint8_t>(1 + chance() % 7);
       timeline.record(event(now, line, what, why, static_cast<float>(chance() % 1000) / 1000));
