--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -227,7 +227,7 @@
 };
 
 // What is believed of a node.
-enum class NodeHealth : std::uint8_t { unknown, healthy, slow_start, suspect, on_trial };
+enum class NodeHealth : std::uint8_t { unknown, healthy, slow_start, suspect, probing };
 
 // What is asked of whoever decides; `Brain` is the module. Others stand in its place where designs are
 // compared.
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -457,7 +457,7 @@
   if (static_cast<std::size_t>(number) >= nodes.all.size()) return NodeHealth::unknown;
   const auto& node = nodes.all[static_cast<std::size_t>(number)];
   if (node.suspect)
-    return nodes.shunned(node, now) && node.waiting.empty() ? NodeHealth::suspect : NodeHealth::on_trial;
+    return nodes.shunned(node, now) && node.waiting.empty() ? NodeHealth::suspect : NodeHealth::probing;
   if (nodes.cold.is(node, now)) return NodeHealth::slow_start;
   return node.latency > 0 ? NodeHealth::healthy : NodeHealth::unknown;
 }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -958,7 +958,7 @@
 
   rig.pass(3);
   CHECK(
-      (rig.brain.belief(2, rig.now) == NodeHealth::suspect || rig.brain.belief(2, rig.now) == NodeHealth::on_trial));
+      (rig.brain.belief(2, rig.now) == NodeHealth::suspect || rig.brain.belief(2, rig.now) == NodeHealth::probing));
   auto hopeless = rig.query(0, 1);
   CHECK(rig.route(hopeless).why.reason == Reason::out_of_reach);
 }
