--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -80,7 +80,7 @@
   timed_out,
   unreachable,
   broken,
-  spoilt,  // the answer, or another on its connection, could not be read: the node lives, and may have run it
+  malformed,  // the answer, or another on its connection, could not be read: the node lives, and may have run it
   cancelled,
   unsent
 };
--- a/src/datanodes/connection.hpp
+++ b/src/datanodes/connection.hpp
@@ -105,7 +105,7 @@
   void end_unsent(std::vector<OutgoingPart> parts);
   void end_waiting();
   bool take(const Frame& frame);
-  void spoilt() { close(Closing::spoilt, "unusable frame", Outcome::spoilt, Outcome::unsent); }
+  void spoilt() { close(Closing::spoilt, "unusable frame", Outcome::malformed, Outcome::unsent); }
   void await_rest();
   void settle();  // after a call has ended: closes or waits idle
   void touch_due(double at);
--- a/src/departures/departures.cpp
+++ b/src/departures/departures.cpp
@@ -40,10 +40,10 @@
 constexpr std::size_t kMostTimes = 64;
 
 bool answered_by_node(Outcome o) {
-  return o == Outcome::success || o == Outcome::failure || o == Outcome::overloaded || o == Outcome::spoilt;
+  return o == Outcome::success || o == Outcome::failure || o == Outcome::overloaded || o == Outcome::malformed;
 }
 bool bad(Outcome o) {
-  return o == Outcome::failure || o == Outcome::overloaded || o == Outcome::spoilt || o == Outcome::broken ||
+  return o == Outcome::failure || o == Outcome::overloaded || o == Outcome::malformed || o == Outcome::broken ||
          o == Outcome::unreachable;
 }
 
--- a/src/sites/sites.cpp
+++ b/src/sites/sites.cpp
@@ -132,7 +132,7 @@
     case Outcome::success:
     case Outcome::failure:
     case Outcome::overloaded:
-    case Outcome::spoilt:
+    case Outcome::malformed:
       node->silent = 0;
       if (node->out > 0) node->waits_from = now;  // it lives: what is still out waits from now
       return say(*node, false, false, sent, outcome == Outcome::success ? age : 0, now);
--- a/src/versions/versions.cpp
+++ b/src/versions/versions.cpp
@@ -161,7 +161,7 @@
       return;
     case Outcome::success:
     case Outcome::failure:
-    case Outcome::spoilt:
+    case Outcome::malformed:
       run.turned_away = run.refused = 0;
       return;
     default:  // says nothing of whether the node takes part
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -311,7 +311,7 @@
 }
 
 TEST_CASE("what ends with one connection is one bad outcome of its node") {
-  for (const auto outcome : {Outcome::spoilt, Outcome::broken, Outcome::failure}) {
+  for (const auto outcome : {Outcome::malformed, Outcome::broken, Outcome::failure}) {
     Rig rig;
     rig.hosts[1].up = rig.hosts[2].up = false;
     rig.brain.list(rig.hosts, true);
@@ -335,7 +335,7 @@
       for (const auto& send : rig.route(q).sends)
         if (send.node == 0) {
           ++sent;
-          if (spoilt) rig.settle(q, send.leaf, Outcome::spoilt);
+          if (spoilt) rig.settle(q, send.leaf, Outcome::malformed);
         }
       rig.pass(0.1);
       for (std::size_t j = 0; j < q.leaves.size(); ++j)
