--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -79,7 +79,7 @@
   overloaded,
   timed_out,
   unreachable,
-  broken,
+  disconnected,
   malformed,  // the answer, or another on its connection, could not be read: the node lives, and may have run it
   cancelled,
   unsent
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -42,7 +42,7 @@
 void NodeConnection::on_open(const boost::system::error_code& error) {
   if (state_ != State::connecting) return;
   if (error)
-    return close(Closing::refused, error.message(), Outcome::broken,
+    return close(Closing::refused, error.message(), Outcome::disconnected,
                  is_local_lack(error) ? Outcome::unsent : Outcome::unreachable);
   boost::system::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
--- a/src/datanodes/connection.hpp
+++ b/src/datanodes/connection.hpp
@@ -67,7 +67,7 @@
   // Takes no new calls, is closed once none is out. Parts of which no byte was written end as `unsent`.
   void retire();
   // Ends it: a call of which the last byte was written has the one outcome, any other cannot have run.
-  void close(Closing closing, std::string_view why, Outcome written = Outcome::broken,
+  void close(Closing closing, std::string_view why, Outcome written = Outcome::disconnected,
              Outcome unwritten = Outcome::unreachable);
   bool ask_load(double now);  // for the node's load report; whether it could be asked
 
--- a/src/departures/departures.cpp
+++ b/src/departures/departures.cpp
@@ -43,7 +43,7 @@
   return o == Outcome::success || o == Outcome::failure || o == Outcome::overloaded || o == Outcome::malformed;
 }
 bool bad(Outcome o) {
-  return o == Outcome::failure || o == Outcome::overloaded || o == Outcome::malformed || o == Outcome::broken ||
+  return o == Outcome::failure || o == Outcome::overloaded || o == Outcome::malformed || o == Outcome::disconnected ||
          o == Outcome::unreachable;
 }
 
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -126,7 +126,7 @@
   // What a router does on hearing of one may end another.
   for (const auto part : broken)
     if (const auto* flight = flights_.get(part); flight != nullptr && flight->wanted)
-      ends_.at_router(part, Outcome::broken);
+      ends_.at_router(part, Outcome::disconnected);
 }
 
 void Network::reset_router(int router) {
--- a/src/emulator/town.cpp
+++ b/src/emulator/town.cpp
@@ -106,7 +106,7 @@
     m.full += call.outcome == Outcome::overloaded;
     m.unreachable += call.outcome == Outcome::unreachable;
     m.timed_out += call.outcome == Outcome::timed_out;
-    m.broken += call.outcome == Outcome::broken;
+    m.broken += call.outcome == Outcome::disconnected;
   };
   world_.decide = [this](std::uint64_t seed) { return decide(seed); };
   for (std::size_t r = 0; r < site_of_router_.size(); ++r) {
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -310,7 +310,7 @@
   // A connection takes along all that is out on it when it breaks or brings a spoilt answer: that counts
   // once, or sound nodes are left out, and the others, with more on each connection, break the more.
   const auto spoilt = call.outcome == Outcome::malformed;
-  if ((spoilt || call.outcome == Outcome::broken) && std::exchange(node.broke, now) == now) return;
+  if ((spoilt || call.outcome == Outcome::disconnected) && std::exchange(node.broke, now) == now) return;
   const auto good = call.outcome == Outcome::success;
   const auto bound = call.outcome == Outcome::cancelled || call.outcome == Outcome::timed_out;
   if (!bound) node.answered = now;
--- a/src/sites/sites.cpp
+++ b/src/sites/sites.cpp
@@ -137,7 +137,7 @@
       if (node->out > 0) node->waits_from = now;  // it lives: what is still out waits from now
       return say(*node, false, false, sent, outcome == Outcome::success ? age : 0, now);
     case Outcome::unreachable:
-    case Outcome::broken:
+    case Outcome::disconnected:
       return say(*node, true, true, sent, 0, now);
     case Outcome::timed_out:
     case Outcome::cancelled:
--- a/src/wire/text.cpp
+++ b/src/wire/text.cpp
@@ -53,7 +53,7 @@
   static constexpr std::pair<std::string_view, Outcome> kWords[] = {
       {"success", Outcome::success},         {"failure", Outcome::failure},
       {"overloaded", Outcome::overloaded},   {"timed_out", Outcome::timed_out},
-      {"unreachable", Outcome::unreachable}, {"broken", Outcome::broken},
+      {"unreachable", Outcome::unreachable}, {"broken", Outcome::disconnected},
       {"withdrawn", Outcome::cancelled},     {"void", Outcome::unsent}};
   for (const auto& [word, meaning] : kWords)
     if (word == verdict) return meaning;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -311,7 +311,7 @@
 }
 
 TEST_CASE("what ends with one connection is one bad outcome of its node") {
-  for (const auto outcome : {Outcome::malformed, Outcome::broken, Outcome::failure}) {
+  for (const auto outcome : {Outcome::malformed, Outcome::disconnected, Outcome::failure}) {
     Rig rig;
     rig.hosts[1].up = rig.hosts[2].up = false;
     rig.brain.list(rig.hosts, true);
@@ -397,7 +397,7 @@
   const Row rows[] = {
       {0, Outcome::failure, 0.1, true, QueryEnd::reject},    {1, Outcome::failure, 0.1, true, QueryEnd::abort},
       {1, Outcome::failure, 1.99, false, QueryEnd::abort},   {1, Outcome::overloaded, 1.99, true, QueryEnd::reject},
-      {2, Outcome::failure, 0.1, false, QueryEnd::abort},    {2, Outcome::broken, 0.1, false, QueryEnd::abort},
+      {2, Outcome::failure, 0.1, false, QueryEnd::abort},    {2, Outcome::disconnected, 0.1, false, QueryEnd::abort},
       {2, Outcome::timed_out, 0.1, false, QueryEnd::abort},  {2, Outcome::cancelled, 0.1, false, QueryEnd::abort},
       {2, Outcome::overloaded, 0.1, true, QueryEnd::reject}, {2, Outcome::unreachable, 0.1, true, QueryEnd::reject},
       {2, Outcome::unsent, 0.1, true, QueryEnd::reject},
@@ -626,7 +626,7 @@
   while (rig.brain.belief(1, rig.now) != NodeHealth::suspect) {
     auto q = rig.query(0, 1);
     const auto node = rig.route(q).sends[0].node;
-    rig.settle(q, 0, node == 1 ? Outcome::broken : Outcome::success);
+    rig.settle(q, 0, node == 1 ? Outcome::disconnected : Outcome::success);
     rig.pass(0.02);
   }
   for (int i = 0; i < 20; ++i) rig.brain.hear({1, 0.01}, rig.now);
--- a/tests/node_connection_test.cpp
+++ b/tests/node_connection_test.cpp
@@ -151,7 +151,7 @@
   for (const auto query : {0, 1}) {
     CAPTURE(query);
     const auto outcome = router.outcomes.by_query[query];
-    CHECK((outcome == Outcome::broken || outcome == Outcome::malformed));
+    CHECK((outcome == Outcome::disconnected || outcome == Outcome::malformed));
   }
 }
 
