--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -124,7 +124,7 @@
     const auto& v = of(q);
     const auto over = now >= last(q);
     if (in >= v.whole - kRounding || (over && breaks(Design::Broken::whole)))
-      answer.end = QueryEnd::merge_whole;
+      answer.end = QueryEnd::merge_complete;
     else if ((over || possible <= in + kRounding) && in >= v.least - kRounding)
       answer.end = QueryEnd::merge_part;
     else if (over || possible < v.least - kRounding) {
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -274,7 +274,7 @@
   const auto enough =
       q.awaited == 0 && now_in >= v.least - kRounding && (q.step == 1 || v.least < v.whole || second_in);
   if (whole) {
-    answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_whole : QueryEnd::merge_part;
+    answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_complete : QueryEnd::merge_part;
     answer.why = explain(Reason::whole, now_in);
     return answer;
   }
@@ -351,7 +351,7 @@
   s.judged.entries.clear();
   if (!q.admitted) s.admission.date(q, s.of(q), s.standstill, now);
   auto answer = s.ending(q, now);
-  if (answer.end == QueryEnd::merge_whole || answer.end == QueryEnd::merge_part ||
+  if (answer.end == QueryEnd::merge_complete || answer.end == QueryEnd::merge_part ||
       (answer.end != QueryEnd::none && q.admitted)) {
     const auto bound = answer.end == QueryEnd::reject || answer.end == QueryEnd::abort;
     if (bound || q.step == 2 || s.verticals.steps(q) == 1)
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -107,10 +107,10 @@
       const auto in =
           std::count_if(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) { return leaf.in; });
       q.step = 2;
-      q.first_whole = answer.end == QueryEnd::merge_whole;
+      q.first_whole = answer.end == QueryEnd::merge_complete;
       q.awaited = std::min(second, static_cast<int>(in));
     }
-    actions_.merge(number, answer.end == QueryEnd::merge_whole);
+    actions_.merge(number, answer.end == QueryEnd::merge_complete);
     if (first_of_two) return;
   }
   end(number, held);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -36,7 +36,7 @@
     const auto won = rig.settle(q, 0, Outcome::success, 1);
     REQUIRE(won.cancels.size() == 1);
     CHECK(won.cancels[0].call == 0);
-    CHECK(rig.route(q).end == QueryEnd::merge_whole);
+    CHECK(rig.route(q).end == QueryEnd::merge_complete);
   }
 }
 
@@ -304,7 +304,7 @@
     CHECK(rig.route(q).sends.size() == 300);
     rig.pass(0.1);
     for (int i = 0; i < 300; ++i) rig.settle(q, i, Outcome::success);
-    CHECK(rig.route(q).end == QueryEnd::merge_whole);
+    CHECK(rig.route(q).end == QueryEnd::merge_complete);
     for (auto& host : rig.hosts) host.up = (host.node + round) % 3 != 0;
     rig.brain.list(rig.hosts, false);
   }
@@ -643,7 +643,7 @@
   s.verticals[0].least = 0.5;
   s.verticals[0].partial_earns = 0.9;
   for (const auto& row : {Row{1, QueryEnd::none, QueryEnd::reject}, Row{2, QueryEnd::none, QueryEnd::merge_part},
-                          Row{4, QueryEnd::merge_whole, QueryEnd::merge_whole}}) {
+                          Row{4, QueryEnd::merge_complete, QueryEnd::merge_complete}}) {
     CAPTURE(row.in);
     for (const bool late : {false, true}) {
       Rig rig(s);
@@ -671,7 +671,7 @@
     q.awaited = 0;
     CHECK(rig.route(q).sends.size() == 1);
     rig.settle(q, 1, Outcome::success);
-    CHECK(rig.route(q).end == (first_whole ? QueryEnd::merge_whole : QueryEnd::merge_part));
+    CHECK(rig.route(q).end == (first_whole ? QueryEnd::merge_complete : QueryEnd::merge_part));
   }
 }
 
