--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -201,7 +201,7 @@
   Explanation why;
 };
 
-enum class QueryEnd { none, merge_complete, merge_part, reject, abort };
+enum class QueryEnd { none, merge_complete, merge_partial, reject, abort };
 
 // What to do for a query: cancels first, then the sends, then the end. Every named send counts as sent.
 struct Decision {
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -126,7 +126,7 @@
     if (in >= v.whole - kRounding || (over && breaks(Design::Broken::whole)))
       answer.end = QueryEnd::merge_complete;
     else if ((over || possible <= in + kRounding) && in >= v.least - kRounding)
-      answer.end = QueryEnd::merge_part;
+      answer.end = QueryEnd::merge_partial;
     else if (over || possible < v.least - kRounding) {
       const auto harmless =
           v.effect == Effect::repeatable ||
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -274,7 +274,7 @@
   const auto enough =
       q.awaited == 0 && now_in >= v.least - kRounding && (q.step == 1 || v.least < v.whole || second_in);
   if (whole) {
-    answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_complete : QueryEnd::merge_part;
+    answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial;
     answer.why = explain(Reason::whole, now_in);
     return answer;
   }
@@ -283,7 +283,7 @@
   const auto late = now >= verticals.slo_end(q);
   const auto over = now >= verticals.last_end(q);
   if (enough && (settled || over || (late && v.partial_earns * now_in > v.late_utility))) {
-    answer.end = QueryEnd::merge_part;
+    answer.end = QueryEnd::merge_partial;
     answer.why = explain(Reason::share, now_in);
     return answer;
   }
@@ -351,7 +351,7 @@
   s.judged.entries.clear();
   if (!q.admitted) s.admission.date(q, s.of(q), s.standstill, now);
   auto answer = s.ending(q, now);
-  if (answer.end == QueryEnd::merge_complete || answer.end == QueryEnd::merge_part ||
+  if (answer.end == QueryEnd::merge_complete || answer.end == QueryEnd::merge_partial ||
       (answer.end != QueryEnd::none && q.admitted)) {
     const auto bound = answer.end == QueryEnd::reject || answer.end == QueryEnd::abort;
     if (bound || q.step == 2 || s.verticals.steps(q) == 1)
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -642,7 +642,7 @@
   s.verticals[0].late_utility = 0;
   s.verticals[0].least = 0.5;
   s.verticals[0].partial_earns = 0.9;
-  for (const auto& row : {Row{1, QueryEnd::none, QueryEnd::reject}, Row{2, QueryEnd::none, QueryEnd::merge_part},
+  for (const auto& row : {Row{1, QueryEnd::none, QueryEnd::reject}, Row{2, QueryEnd::none, QueryEnd::merge_partial},
                           Row{4, QueryEnd::merge_complete, QueryEnd::merge_complete}}) {
     CAPTURE(row.in);
     for (const bool late : {false, true}) {
@@ -671,7 +671,7 @@
     q.awaited = 0;
     CHECK(rig.route(q).sends.size() == 1);
     rig.settle(q, 1, Outcome::success);
-    CHECK(rig.route(q).end == (first_whole ? QueryEnd::merge_complete : QueryEnd::merge_part));
+    CHECK(rig.route(q).end == (first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial));
   }
 }
 
