--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -117,7 +117,7 @@
 enum class Reason : std::uint8_t {
   none,
   // A part is sent: score of the chosen node, of the next best (infinite: there is none), the hedge delay.
-  first,
+  first_call,
   copy,          // late by the hedge delay
   lost_again,    // its call is taken for lost
   failed_again,  // each of its calls has ended
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -170,7 +170,7 @@
     }
     send(q, index,
          copy                 ? Reason::copy
-         : leaf.calls.empty() ? Reason::first
+         : leaf.calls.empty() ? Reason::first_call
                               : Reason::failed_again,
          answer, now, kNone);
     if (copies && at_once && leaf.calls.empty() && !answer.sends.empty() && answer.sends.back().leaf == index)
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -211,7 +211,7 @@
   if (again) cancel_pending(answer, leaf, index, Reason::lost_answer, now);
   because.reason = copy                 ? Reason::copy
                    : again              ? Reason::lost_again
-                   : leaf.calls.empty() ? Reason::first
+                   : leaf.calls.empty() ? Reason::first_call
                                         : Reason::failed_again;
   answer.sends.push_back(commit(q, index, node, because, now));
 }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -97,7 +97,7 @@
 }
 
 Act act_of(Reason reason) {
-  return reason == Reason::first ? Act::first : reason == Reason::copy ? Act::copy : Act::resent;
+  return reason == Reason::first_call ? Act::first : reason == Reason::copy ? Act::copy : Act::resent;
 }
 
 const char* name(Router::Phase phase) {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -903,7 +903,7 @@
   auto first = rig.query(0, 1);
   auto answer = rig.route(first);
   REQUIRE(answer.sends.size() == 1);
-  CHECK(answer.sends[0].why.reason == Reason::first);
+  CHECK(answer.sends[0].why.reason == Reason::first_call);
   CHECK(answer.sends[0].why.a <= answer.sends[0].why.b);
   CHECK(answer.sends[0].why.c == doctest::Approx(0.25));
   const auto dearer = judged(Reason::dearer);
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -34,7 +34,7 @@
 }
 
 constexpr auto kSuccess = static_cast<std::uint8_t>(Outcome::success);
-constexpr auto kFirst = static_cast<std::uint8_t>(Reason::first);
+constexpr auto kFirst = static_cast<std::uint8_t>(Reason::first_call);
 
 struct Folder {
   Folder() { std::filesystem::remove_all(path); }
