--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -119,7 +119,7 @@
   // A part is sent: score of the chosen node, of the next best (infinite: there is none), the hedge delay.
   first_call,
   copy,          // late by the hedge delay
-  lost_again,    // its call is taken for lost
+  resent_lost,    // its call is taken for lost
   failed_again,  // each of its calls has ended
   // A call is cancelled: its age.
   race_lost,    // the part is in
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -210,7 +210,7 @@
   if (out && best > bound) return judged.add(index, kNone, explain(Reason::none_quicker, best, bound));
   if (again) cancel_pending(answer, leaf, index, Reason::lost_answer, now);
   because.reason = copy                 ? Reason::copy
-                   : again              ? Reason::lost_again
+                   : again              ? Reason::resent_lost
                    : leaf.calls.empty() ? Reason::first_call
                                         : Reason::failed_again;
   answer.sends.push_back(commit(q, index, node, because, now));
