--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -120,7 +120,7 @@
   first_call,
   copy,          // late by the hedge delay
   resent_lost,    // its call is taken for lost
-  failed_again,  // each of its calls has ended
+  resent_failed,  // each of its calls has ended
   // A call is cancelled: its age.
   race_lost,    // the part is in
   lost_answer,  // it goes out again elsewhere
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -171,7 +171,7 @@
     send(q, index,
          copy                 ? Reason::copy
          : leaf.calls.empty() ? Reason::first_call
-                              : Reason::failed_again,
+                              : Reason::resent_failed,
          answer, now, kNone);
     if (copies && at_once && leaf.calls.empty() && !answer.sends.empty() && answer.sends.back().leaf == index)
       send(q, index, Reason::copy, answer, now, answer.sends.back().node);
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -212,7 +212,7 @@
   because.reason = copy                 ? Reason::copy
                    : again              ? Reason::resent_lost
                    : leaf.calls.empty() ? Reason::first_call
-                                        : Reason::failed_again;
+                                        : Reason::resent_failed;
   answer.sends.push_back(commit(q, index, node, because, now));
 }
 
--- a/src/timeline/timeline.cpp
+++ b/src/timeline/timeline.cpp
@@ -45,7 +45,7 @@
     case What::sent:
       count(sent);
       if (reason == Reason::copy) count(copied);
-      if (reason == Reason::resent_lost || reason == Reason::failed_again) count(resent);
+      if (reason == Reason::resent_lost || reason == Reason::resent_failed) count(resent);
       break;
     case What::passed:
       count(passed);
