--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -123,7 +123,7 @@
   resent_failed,  // each of its calls has ended
   // A call is cancelled: its age.
   race_lost,    // the part is in
-  lost_answer,  // it goes out again elsewhere
+  presumed_lost,  // it goes out again elsewhere
   // A part waits.
   on_time,       // its call is out and not late: its age, the hedge delay
   copies_spent,  // it is late, but a tenth of the parts were copied: copies, parts sent
