--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -198,7 +198,7 @@
   if (out && !copy && !again)
     return judged.add(index, kNone,
                        due ? explain(Reason::copies_spent, copies.recent(now), sent)
-                           : explain(Reason::on_time, now - leaf.calls.back().sent, of(q).delay));
+                           : explain(Reason::within_hedge_delay, now - leaf.calls.back().sent, of(q).delay));
   Explanation because;
   double best = 0;
   const auto node = choose(q, index, out, now, best, because);
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -48,7 +48,7 @@
   };
   for (const auto& judge : judged) {
     if (judge.node == kNone) {
-      if (judge.why.reason == Reason::on_time) continue;  // looked at each tenth of a second: no choice
+      if (judge.why.reason == Reason::within_hedge_delay) continue;  // looked at each tenth of a second: no choice
       timeline_.record(of(What::waits, kLoop, judge.why, judge.leaf));
       continue;
     }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -912,8 +912,8 @@
   CHECK(dearer.why.a >= dearer.why.b);
 
   rig.route(first);
-  CHECK(judged(Reason::on_time).node == kNone);
-  CHECK(judged(Reason::on_time).leaf == 0);
+  CHECK(judged(Reason::within_hedge_delay).node == kNone);
+  CHECK(judged(Reason::within_hedge_delay).leaf == 0);
 
   rig.pass(0.05);
   CHECK(rig.settle(first, 0, Outcome::success).cancels.empty());
