--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -126,7 +126,7 @@
   presumed_lost,  // it goes out again elsewhere
   // A part waits.
   within_hedge_delay,       // its call is out and not late: its age, the hedge delay
-  copies_spent,  // it is late, but a tenth of the parts were copied: copies, parts sent
+  copy_budget_spent,  // it is late, but a tenth of the parts were copied: copies, parts sent
   none_quicker,  // the best other node would not answer soon enough: its score, the bound
   none_left,     // no node that holds it may be sent it now
   paused,        // only nodes that have failed it are left: until it goes out again
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -197,7 +197,7 @@
   const auto again = out && !copy && lost(q, leaf, now);
   if (out && !copy && !again)
     return judged.add(index, kNone,
-                       due ? explain(Reason::copies_spent, copies.recent(now), sent)
+                       due ? explain(Reason::copy_budget_spent, copies.recent(now), sent)
                            : explain(Reason::within_hedge_delay, now - leaf.calls.back().sent, of(q).delay));
   Explanation because;
   double best = 0;
