--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -207,7 +207,7 @@
   // slow it adds to the load. A lost part goes where it should take less than it has waited.
   const auto left = again && nodes.lost(at(leaf.calls.back().node));
   const auto bound = left ? kNever : again ? now - leaf.calls.back().sent : of(q).delay;
-  if (out && best > bound) return judged.add(index, kNone, explain(Reason::none_quicker, best, bound));
+  if (out && best > bound) return judged.add(index, kNone, explain(Reason::no_faster_node, best, bound));
   if (again) cancel_pending(answer, leaf, index, Reason::presumed_lost, now);
   because.reason = copy                 ? Reason::copy
                    : again              ? Reason::resent_lost
