--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -128,7 +128,7 @@
   within_hedge_delay,       // its call is out and not late: its age, the hedge delay
   copy_budget_spent,  // it is late, but a tenth of the parts were copied: copies, parts sent
   no_faster_node,  // the best other node would not answer soon enough: its score, the bound
-  none_left,     // no node that holds it may be sent it now
+  no_node_left,     // no node that holds it may be sent it now
   paused,        // only nodes that have failed it are left: until it goes out again
   calls_spent,   // it has had its most calls: their number
   extras_spent,  // the budget of further calls: spent, most
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -119,7 +119,7 @@
   int chosen = kNone;
   double next = kNever;
   best = kNever;
-  because = explain(Reason::none_left);
+  because = explain(Reason::no_node_left);
   const auto noted = judged.entries.size();
   const auto tried = [&](int node) {
     return std::any_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& c) { return c.node == node; });
@@ -130,7 +130,7 @@
     const auto paused_until =
         leaf.calls.empty() ? kNever : leaf.calls.back().sent + std::max(of(q).delay, kLeastPause);
     if (again && now < paused_until) {
-      if (!leaf.calls.empty() && because.reason == Reason::none_left)
+      if (!leaf.calls.empty() && because.reason == Reason::no_node_left)
         because = explain(Reason::paused, paused_until - now);
       break;
     }
