--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -131,7 +131,7 @@
         leaf.calls.empty() ? kNever : leaf.calls.back().sent + std::max(of(q).delay, kLeastPause);
     if (again && now < paused_until) {
       if (!leaf.calls.empty() && because.reason == Reason::no_node_left)
-        because = explain(Reason::paused, paused_until - now);
+        because = explain(Reason::retry_delayed, paused_until - now);
       break;
     }
     nodes.any_holder(leaf, [&](int i) {
