--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -91,7 +91,7 @@
 // The one guard that every send passes: why a part may not be sent to a node.
 Explanation AdaptiveRoutingPolicy::State::barred(const Query& q, const Leaf& leaf, Node& node, double now) {
   if (q.ended || leaf.in || now >= verticals.last_end(q)) return explain(Reason::time_over);  // rule 1
-  if (leaf.attempts() >= is.max_calls) return explain(Reason::calls_spent, is.max_calls);
+  if (leaf.attempts() >= is.max_calls) return explain(Reason::max_calls_reached, is.max_calls);
   if (now >= resend_until(q, leaf)) return explain(Reason::may_have_run);  // rule 2
   if (!node.up) return explain(Reason::down);                              // rule 3
   if (nodes.cold.is(node, now) &&
