--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -131,7 +131,7 @@
   no_node_left,     // no node that holds it may be sent it now
   retry_delayed,        // only nodes that have failed it are left: until it goes out again
   max_calls_reached,   // it has had its most calls: their number
-  extras_spent,  // the budget of further calls: spent, most
+  retry_budget_spent,  // the budget of further calls: spent, most
   may_have_run,  // a further call could have its effect twice
   // A node is passed over.
   dearer,   // its score, that of the best
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -99,7 +99,7 @@
     return explain(Reason::slow_start, node.sent.recent(now), nodes.cold.most(node, now));
   if (leaf.attempts() > 0 && is.extra_span > 0) {  // rule 6
     const auto most = is.extra_free + is.extra_share * taken.recent(now);
-    if (extras.recent(now) + 1 > most) return explain(Reason::extras_spent, extras.recent(now), most);
+    if (extras.recent(now) + 1 > most) return explain(Reason::retry_budget_spent, extras.recent(now), most);
   }
   return {};
 }
