--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -134,7 +134,7 @@
   retry_budget_spent,  // the budget of further calls: spent, most
   may_have_run,  // a further call could have its effect twice
   // A node is passed over.
-  dearer,   // its score, that of the best
+  worse_score,   // its score, that of the best
   down,     // draining or gone
   slow_start,     // parts it was sent, parts it may be sent
   suspect,  // its score without the suspicion, until when it is left alone, parts waiting there
--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -20,7 +20,7 @@
   void set_chosen(std::size_t from, int chosen, double best) {
     for (auto i = from; i < entries.size(); ++i) {
       entries[i].taken = chosen;
-      if (entries[i].why.reason == Reason::dearer) entries[i].why.b = static_cast<float>(best);
+      if (entries[i].why.reason == Reason::worse_score) entries[i].why.b = static_cast<float>(best);
     }
   }
 };
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -157,7 +157,7 @@
       const auto better = value < best;
       next = better ? best : std::min(next, value);
       const auto loser = better ? chosen : i;
-      if (loser != kNone && !(shunned && loser == i)) judged.add(index, loser, explain(Reason::dearer, next));
+      if (loser != kNone && !(shunned && loser == i)) judged.add(index, loser, explain(Reason::worse_score, next));
       if (better) {
         best = value;
         chosen = i;
--- a/src/timeline/record.cpp
+++ b/src/timeline/record.cpp
@@ -224,7 +224,7 @@
     case What::passed: {
       const auto instead = r.other.empty() ? ", nobody instead" : " for " + r.other;
       switch (static_cast<Reason>(e.why)) {
-        case Reason::dearer:
+        case Reason::worse_score:
           return fmt::format("passed over{}: score {} to {}", instead, ms(e.a), ms(e.b));
         case Reason::suspect:
           return fmt::format("passed over{}: suspect, left alone for {}, {:g} waiting", instead, ms(e.b),
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -68,7 +68,7 @@
     e.call = static_cast<std::uint16_t>(q.leaves[static_cast<std::size_t>(send.leaf)].calls.size());
     e.other = kNoLine;
     for (const auto& judge : judged)
-      if (judge.leaf == send.leaf && judge.why.reason == Reason::dearer && judge.why.a <= send.why.b)
+      if (judge.leaf == send.leaf && judge.why.reason == Reason::worse_score && judge.why.a <= send.why.b)
         e.other = line_of(judge.node);
     timeline_.record(e);
     if (departs_ && line_of(send.node) != kNoLine) departures_.sent(send.node, q.vertical, now);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -906,7 +906,7 @@
   CHECK(answer.sends[0].why.reason == Reason::first_call);
   CHECK(answer.sends[0].why.a <= answer.sends[0].why.b);
   CHECK(answer.sends[0].why.c == doctest::Approx(0.25));
-  const auto dearer = judged(Reason::dearer);
+  const auto dearer = judged(Reason::worse_score);
   CHECK(dearer.taken == answer.sends[0].node);
   CHECK(dearer.node != dearer.taken);
   CHECK(dearer.why.a >= dearer.why.b);
