--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -135,7 +135,7 @@
   may_have_run,  // a further call could have its effect twice
   // A node is passed over.
   worse_score,   // its score, that of the best
-  down,     // draining or gone
+  unavailable,     // draining or gone
   slow_start,     // parts it was sent, parts it may be sent
   suspect,  // its score without the suspicion, until when it is left alone, parts waiting there
   tried,    // the part has been there
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -93,7 +93,7 @@
   if (q.ended || leaf.in || now >= verticals.last_end(q)) return explain(Reason::time_over);  // rule 1
   if (leaf.attempts() >= is.max_calls) return explain(Reason::max_calls_reached, is.max_calls);
   if (now >= resend_until(q, leaf)) return explain(Reason::may_have_run);  // rule 2
-  if (!node.up) return explain(Reason::down);                              // rule 3
+  if (!node.up) return explain(Reason::unavailable);                              // rule 3
   if (nodes.cold.is(node, now) &&
       !nodes.cold.allows(node, relative_work.of(q.vertical), now, chance))  // rule 4
     return explain(Reason::slow_start, node.sent.recent(now), nodes.cold.most(node, now));
@@ -139,7 +139,7 @@
       const auto other = tried(i) != again;
       if (other && again) return false;
       const auto bar = other ? explain(Reason::tried) : barred(q, leaf, node, now);
-      const auto of_node = other || bar.reason == Reason::down || bar.reason == Reason::slow_start;
+      const auto of_node = other || bar.reason == Reason::unavailable || bar.reason == Reason::slow_start;
       if (of_node) judged.add(index, i, bar);
       if (!of_node && bar.reason != Reason::none) because = bar;
       if (bar.reason != Reason::none) return false;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -952,7 +952,7 @@
     auto more = rig.query(0, 1);
     rig.route(more);
   }
-  CHECK(judged(Reason::down).node == 0);
+  CHECK(judged(Reason::unavailable).node == 0);
   CHECK(judged(Reason::slow_start).node == 1);
   CHECK(judged(Reason::slow_start).why.a + 1 > judged(Reason::slow_start).why.b);
 
