--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -138,7 +138,7 @@
   unavailable,     // draining or gone
   slow_start,     // parts it was sent, parts it may be sent
   suspect,  // its score without the suspicion, until when it is left alone, parts waiting there
-  tried,    // the part has been there
+  already_tried,    // the part has been there
   // A query ends.
   whole,         // share that is in
   share,         // enough is in and nothing more is worth the wait: share that is in
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -138,7 +138,7 @@
       auto& node = at(i);
       const auto other = tried(i) != again;
       if (other && again) return false;
-      const auto bar = other ? explain(Reason::tried) : barred(q, leaf, node, now);
+      const auto bar = other ? explain(Reason::already_tried) : barred(q, leaf, node, now);
       const auto of_node = other || bar.reason == Reason::unavailable || bar.reason == Reason::slow_start;
       if (of_node) judged.add(index, i, bar);
       if (!of_node && bar.reason != Reason::none) because = bar;
--- a/src/timeline/record.cpp
+++ b/src/timeline/record.cpp
@@ -231,7 +231,7 @@
                              e.c);
         case Reason::slow_start:
           return fmt::format("passed over{}: cold, sent {:g} of {:.2f}", instead, e.a, e.b);
-        case Reason::tried:
+        case Reason::already_tried:
           return fmt::format("passed over{}: the part has been there", instead);
         case Reason::away:
           return fmt::format("passed over{}: its site was lost {} before", instead, ms(e.a));
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -926,7 +926,7 @@
   answer = rig.route(late);
   REQUIRE(answer.sends.size() == 1);
   CHECK(answer.sends[0].why.reason == Reason::copy);
-  CHECK(judged(Reason::tried).node == slow);
+  CHECK(judged(Reason::already_tried).node == slow);
   answer = rig.settle(late, 0, Outcome::success);
   REQUIRE(answer.cancels.size() == 1);
   CHECK(answer.cancels[0].why.reason == Reason::race_lost);
