--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -140,7 +140,7 @@
   suspect,  // its score without the suspicion, until when it is left alone, parts waiting there
   already_tried,    // the part has been there
   // A query ends.
-  whole,         // share that is in
+  complete,         // share that is in
   share,         // enough is in and nothing more is worth the wait: share that is in
   no_room,       // too many in hand
   strained,      // foretold latency to the time of a step, prospect, chance of the refusal
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -275,7 +275,7 @@
       q.awaited == 0 && now_in >= v.least - kRounding && (q.step == 1 || v.least < v.whole || second_in);
   if (whole) {
     answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial;
-    answer.why = explain(Reason::whole, now_in);
+    answer.why = explain(Reason::complete, now_in);
     return answer;
   }
   const auto need = q.step == 1 ? v.whole : 1;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -917,7 +917,7 @@
 
   rig.pass(0.05);
   CHECK(rig.settle(first, 0, Outcome::success).cancels.empty());
-  CHECK(rig.route(first).why.reason == Reason::whole);
+  CHECK(rig.route(first).why.reason == Reason::complete);
 
   rig.serve(40, 0.02);
   auto late = rig.query(0, 1);
