--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -141,7 +141,7 @@
   already_tried,    // the part has been there
   // A query ends.
   complete,         // share that is in
-  share,         // enough is in and nothing more is worth the wait: share that is in
+  partial,         // enough is in and nothing more is worth the wait: share that is in
   no_room,       // too many in hand
   strained,      // foretold latency to the time of a step, prospect, chance of the refusal
   hopeless,      // the same
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -284,7 +284,7 @@
   const auto over = now >= verticals.last_end(q);
   if (enough && (settled || over || (late && v.partial_earns * now_in > v.late_utility))) {
     answer.end = QueryEnd::merge_partial;
-    answer.why = explain(Reason::share, now_in);
+    answer.why = explain(Reason::partial, now_in);
     return answer;
   }
   const auto least = v.least < v.whole ? v.least : need;
