--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -142,7 +142,7 @@
   // A query ends.
   complete,         // share that is in
   partial,         // enough is in and nothing more is worth the wait: share that is in
-  no_room,       // too many in hand
+  too_many_pending,       // too many in hand
   strained,      // foretold latency to the time of a step, prospect, chance of the refusal
   hopeless,      // the same
   out_of_reach,  // the same: too few of its parts have a node to go to
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -939,8 +939,8 @@
   CHECK(rig.route(failed).why.reason == Reason::cannot_reach);
 
   auto full = rig.query(0, 1);
-  full.barred = Reason::no_room;
-  CHECK(rig.route(full).why.reason == Reason::no_room);
+  full.barred = Reason::too_many_pending;
+  CHECK(rig.route(full).why.reason == Reason::too_many_pending);
 
   rig.hosts[0].up = false;
   rig.hosts[1].born = rig.now;
