--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -143,7 +143,7 @@
   complete,         // share that is in
   partial,         // enough is in and nothing more is worth the wait: share that is in
   too_many_pending,       // too many in hand
-  strained,      // foretold latency to the time of a step, prospect, chance of the refusal
+  overloaded,      // foretold latency to the time of a step, prospect, chance of the refusal
   hopeless,      // the same
   out_of_reach,  // the same: too few of its parts have a node to go to
   time_over,     // share that is in
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -82,7 +82,7 @@
   const auto reason = !refuses                        ? Reason::none
                       : !reached                      ? Reason::out_of_reach
                       : 1 - hope / kHopeless >= share ? Reason::hopeless
-                                                      : Reason::strained;
+                                                      : Reason::overloaded;
   return explain(reason, foretold, hope, share);
 }
 }  // namespace yoketurn::policy
