--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -144,7 +144,7 @@
   partial,         // enough is in and nothing more is worth the wait: share that is in
   too_many_pending,       // too many in hand
   overloaded,      // foretold latency to the time of a step, prospect, chance of the refusal
-  hopeless,      // the same
+  unlikely_in_time,      // the same
   out_of_reach,  // the same: too few of its parts have a node to go to
   time_over,     // share that is in
   cannot_reach,  // share that is in, share that may still come
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -81,7 +81,7 @@
   const auto refuses = std::uniform_real_distribution<>(0, 1)(chance) < share;
   const auto reason = !refuses                        ? Reason::none
                       : !reached                      ? Reason::out_of_reach
-                      : 1 - hope / kHopeless >= share ? Reason::hopeless
+                      : 1 - hope / kHopeless >= share ? Reason::unlikely_in_time
                                                       : Reason::overloaded;
   return explain(reason, foretold, hope, share);
 }
