--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -80,7 +80,7 @@
                               1 - hope / kHopeless);
   const auto refuses = std::uniform_real_distribution<>(0, 1)(chance) < share;
   const auto reason = !refuses                        ? Reason::none
-                      : !reached                      ? Reason::out_of_reach
+                      : !reached                      ? Reason::too_few_reachable
                       : 1 - hope / kHopeless >= share ? Reason::unlikely_in_time
                                                       : Reason::overloaded;
   return explain(reason, foretold, hope, share);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -960,7 +960,7 @@
   CHECK(
       (rig.brain.belief(2, rig.now) == NodeHealth::suspect || rig.brain.belief(2, rig.now) == NodeHealth::probing));
   auto hopeless = rig.query(0, 1);
-  CHECK(rig.route(hopeless).why.reason == Reason::out_of_reach);
+  CHECK(rig.route(hopeless).why.reason == Reason::too_few_reachable);
 }
 
 TEST_CASE("choices past the bound are counted, not kept") {
@@ -1039,7 +1039,7 @@
   auto q = town.query(0, 1);
   const auto answer = town.route(q);
   CHECK(answer.end == QueryEnd::reject);
-  CHECK(answer.why.reason == Reason::out_of_reach);
+  CHECK(answer.why.reason == Reason::too_few_reachable);
   CHECK(answer.stay_away > 0);
   // A process that began since the loss is not judged by it.
   for (auto& host : town.hosts) host.born = town.now + 1;
