--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -146,7 +146,7 @@
   overloaded,      // foretold latency to the time of a step, prospect, chance of the refusal
   unlikely_in_time,      // the same
   too_few_reachable,  // the same: too few of its parts have a node to go to
-  time_over,     // share that is in
+  deadline_passed,     // share that is in
   cannot_reach,  // share that is in, share that may still come
   // A node is passed over for its site: the share that this gets, how long ago it was lost.
   away,
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -90,7 +90,7 @@
 
 // The one guard that every send passes: why a part may not be sent to a node.
 Explanation AdaptiveRoutingPolicy::State::barred(const Query& q, const Leaf& leaf, Node& node, double now) {
-  if (q.ended || leaf.in || now >= verticals.last_end(q)) return explain(Reason::time_over);  // rule 1
+  if (q.ended || leaf.in || now >= verticals.last_end(q)) return explain(Reason::deadline_passed);  // rule 1
   if (leaf.attempts() >= is.max_calls) return explain(Reason::max_calls_reached, is.max_calls);
   if (now >= resend_until(q, leaf)) return explain(Reason::may_have_run);  // rule 2
   if (!node.up) return explain(Reason::unavailable);                              // rule 3
@@ -289,7 +289,7 @@
   }
   const auto least = v.least < v.whole ? v.least : need;
   if (now_possible < least - kRounding) return give_up(q, explain(Reason::cannot_reach, now_in, now_possible));
-  if (over || (late && v.late_utility <= 0)) return give_up(q, explain(Reason::time_over, now_in));
+  if (over || (late && v.late_utility <= 0)) return give_up(q, explain(Reason::deadline_passed, now_in));
   return answer;
 }
 
