--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -147,7 +147,7 @@
   unlikely_in_time,      // the same
   too_few_reachable,  // the same: too few of its parts have a node to go to
   deadline_passed,     // share that is in
-  cannot_reach,  // share that is in, share that may still come
+  share_unreachable,  // share that is in, share that may still come
   // A node is passed over for its site: the share that this gets, how long ago it was lost.
   away,
   shut_out,  // a query ends: this router takes none, or few, for now
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -135,7 +135,7 @@
           });
       answer.end = harmless ? QueryEnd::reject : QueryEnd::abort;
       answer.stay_away = is_.max_stay_away;
-      answer.why = explain(over ? Reason::deadline_passed : Reason::cannot_reach);
+      answer.why = explain(over ? Reason::deadline_passed : Reason::share_unreachable);
     }
     return answer;
   }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -288,7 +288,7 @@
     return answer;
   }
   const auto least = v.least < v.whole ? v.least : need;
-  if (now_possible < least - kRounding) return give_up(q, explain(Reason::cannot_reach, now_in, now_possible));
+  if (now_possible < least - kRounding) return give_up(q, explain(Reason::share_unreachable, now_in, now_possible));
   if (over || (late && v.late_utility <= 0)) return give_up(q, explain(Reason::deadline_passed, now_in));
   return answer;
 }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -936,7 +936,7 @@
   auto failed = rig.query(2, 1);
   rig.route(failed);
   rig.settle(failed, 0, Outcome::failure);
-  CHECK(rig.route(failed).why.reason == Reason::cannot_reach);
+  CHECK(rig.route(failed).why.reason == Reason::share_unreachable);
 
   auto full = rig.query(0, 1);
   full.barred = Reason::too_many_pending;
