--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -144,7 +144,7 @@
       if (!of_node && bar.reason != Reason::none) because = bar;
       if (bar.reason != Reason::none) return false;
       const auto by_site = nodes.by_site(node, leaf.calls.empty() && repeatable(q), chance);
-      if (by_site <= 0) return judged.add(index, i, explain(Reason::away, now - nodes.site(node)->since)), false;
+      if (by_site <= 0) return judged.add(index, i, explain(Reason::site_avoided, now - nodes.site(node)->since)), false;
       const auto shunned = nodes.shunned(node, now);
       if (shunned)
         judged.add(index, i,
--- a/src/timeline/record.cpp
+++ b/src/timeline/record.cpp
@@ -233,7 +233,7 @@
           return fmt::format("passed over{}: cold, sent {:g} of {:.2f}", instead, e.a, e.b);
         case Reason::already_tried:
           return fmt::format("passed over{}: the part has been there", instead);
-        case Reason::away:
+        case Reason::site_avoided:
           return fmt::format("passed over{}: its site was lost {} before", instead, ms(e.a));
         default:
           return fmt::format("passed over{}: {}", instead, why);
