--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -150,7 +150,7 @@
   share_unreachable,  // share that is in, share that may still come
   // A node is passed over for its site: the share that this gets, how long ago it was lost.
   site_avoided,
-  shut_out,  // a query ends: this router takes none, or few, for now
+  router_refusing,  // a query ends: this router takes none, or few, for now
 };
 
 struct Query {
