--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -22,7 +22,7 @@
 enum class Effect { repeatable, deduplicated, side_effecting };
 
 struct Vertical {
-  double slo = 0;          // an answer within it earns the full utility
+  double slo_time = 0;          // an answer within it earns the full utility
   double slo_stretch = 0;  // plus this multiple of the query's own work
   double utility = 1;
   double late_utility = 0;  // share of the utility after the SLO time
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -29,7 +29,7 @@
 
 std::vector<double> aims(const Settings& settings) {
   std::vector<double> all;
-  for (const auto& vertical : settings.verticals) all.push_back(vertical.slo);
+  for (const auto& vertical : settings.verticals) all.push_back(vertical.slo_time);
   return all;
 }
 }  // namespace
@@ -335,7 +335,7 @@
   const auto held = nodes.drifted(node, nodes.usual(node, now), now);
   // A quick failure counts as the time it costs, not the time it took: else the node would look fast and draw
   // all traffic. A cancelled or overdue call took at least its age.
-  const auto value = good ? took : bound ? std::max(took, held) : std::max(v.is.slo, held);
+  const auto value = good ? took : bound ? std::max(took, held) : std::max(v.is.slo_time, held);
   if (!nodes.lost(node)) nodes.cost.add(value);
   nodes.tell(call.node, value);
   nodes.learn(node, value, good, now);
--- a/src/policy/verticals.cpp
+++ b/src/policy/verticals.cpp
@@ -27,7 +27,7 @@
 }
 }  // namespace
 
-VerticalState::VerticalState(const Vertical& v) : is(v), delay(kStartShare * v.slo) {}
+VerticalState::VerticalState(const Vertical& v) : is(v), delay(kStartShare * v.slo_time) {}
 
 Verticals::Verticals(const Settings& s)
     : margin(kMargin + 2 * s.tick), all(s.verticals.begin(), s.verticals.end()) {}
@@ -63,7 +63,7 @@
     v.quick = quicker_half(samples);
     for (const auto& sample : v.strain.recent(now)) samples_of_all.push_back(sample);
     needed += v.is.least * (static_cast<double>(samples_of_all.size()) - before);
-    v.delay = (many * quantile(samples, kHedgeQuantile) + kStartWeight * kStartShare * v.is.slo) /
+    v.delay = (many * quantile(samples, kHedgeQuantile) + kStartWeight * kStartShare * v.is.slo_time) /
               (many + kStartWeight);
   }
   nodes.astray = 0;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -154,7 +154,7 @@
   for (std::size_t i = 0; i < many; ++i) {
     const auto path = "classes." + std::to_string(i) + ".";
     Vertical v;
-    v.slo = read.seconds(path + "aim_us");
+    v.slo_time = read.seconds(path + "aim_us");
     v.slo_stretch = read.optional(path + "aim_stretch", 0);
     v.utility = read.number(path + "credit", 0);
     v.late_utility = read.number(path + "late_worth", 0);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -224,7 +224,7 @@
 TEST_CASE("a slow way is told from slow nodes and remembered while it is avoided") {
   for (const double late : {0.0, 0.9}) {
     auto s = settings();
-    for (auto& vertical : s.verticals) vertical.slo = 5;
+    for (auto& vertical : s.verticals) vertical.slo_time = 5;
     Rig rig(s, 120);
     const auto zone_of = [&](int node) { return node / 3 % 2; };
     Query queries[2];
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -16,7 +16,7 @@
   Settings s;
   for (const auto effect : {Effect::repeatable, Effect::deduplicated, Effect::side_effecting}) {
     Vertical v;
-    v.slo = 1;
+    v.slo_time = 1;
     v.late_utility = 0.5;
     v.effect = effect;
     v.window = 2;
