--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -28,7 +28,7 @@
   double late_utility = 0;  // share of the utility after the SLO time
   Effect effect = Effect::repeatable;
   double window = 0;  // deduplicated: repeats are dropped for so long
-  double least = 1;   // share of the weight below which nothing may be merged
+  double min_merge_share = 1;   // share of the weight below which nothing may be merged
   double whole = 1;   // share of the weight that makes a whole answer
   double partial_earns = 0;
   int second_step = 0;  // parts of the second step
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -125,9 +125,9 @@
     const auto over = now >= last(q);
     if (in >= v.whole - kRounding || (over && breaks(Design::Broken::whole)))
       answer.end = QueryEnd::merge_complete;
-    else if ((over || possible <= in + kRounding) && in >= v.least - kRounding)
+    else if ((over || possible <= in + kRounding) && in >= v.min_merge_share - kRounding)
       answer.end = QueryEnd::merge_partial;
-    else if (over || possible < v.least - kRounding) {
+    else if (over || possible < v.min_merge_share - kRounding) {
       const auto harmless =
           v.effect == Effect::repeatable ||
           std::all_of(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) {
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -35,7 +35,7 @@
   for (const auto& leaf : q.leaves)
     if (nodes.any_holder(leaf, [&](int i) { return nodes.within_reach(nodes.at(i), now); }))
       reach += leaf.weight;
-  return reach >= verticals.told(q).least - kRounding;
+  return reach >= verticals.told(q).min_merge_share - kRounding;
 }
 
 // A query that waited while the router stood still was asked earlier, by what its client leaves it less.
--- a/src/policy/verticals.cpp
+++ b/src/policy/verticals.cpp
@@ -62,7 +62,7 @@
     v.lost = lost_after(samples);
     v.quick = quicker_half(samples);
     for (const auto& sample : v.strain.recent(now)) samples_of_all.push_back(sample);
-    needed += v.is.least * (static_cast<double>(samples_of_all.size()) - before);
+    needed += v.is.min_merge_share * (static_cast<double>(samples_of_all.size()) - before);
     v.delay = (many * quantile(samples, kHedgeQuantile) + kStartWeight * kStartShare * v.is.slo_time) /
               (many + kStartWeight);
   }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -160,7 +160,7 @@
     v.late_utility = read.number(path + "late_worth", 0);
     v.effect = effect(required(setup, path + "semantics"));
     if (v.effect == Effect::deduplicated) v.window = read.seconds(path + "window_us");
-    v.least = least[i];
+    v.min_merge_share = least[i];
     v.whole = whole[i];
     v.partial_earns = earns[i];
     v.second_step = static_cast<int>(steps[i]);
