--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -29,7 +29,7 @@
   Effect effect = Effect::repeatable;
   double window = 0;  // deduplicated: repeats are dropped for so long
   double min_merge_share = 1;   // share of the weight below which nothing may be merged
-  double whole = 1;   // share of the weight that makes a whole answer
+  double complete_share = 1;   // share of the weight that makes a whole answer
   double partial_earns = 0;
   int second_step = 0;  // parts of the second step
 };
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -123,7 +123,7 @@
     }
     const auto& v = of(q);
     const auto over = now >= last(q);
-    if (in >= v.whole - kRounding || (over && breaks(Design::Broken::whole)))
+    if (in >= v.complete_share - kRounding || (over && breaks(Design::Broken::whole)))
       answer.end = QueryEnd::merge_complete;
     else if ((over || possible <= in + kRounding) && in >= v.min_merge_share - kRounding)
       answer.end = QueryEnd::merge_partial;
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -270,15 +270,15 @@
   if (q.awaited > 0) possible[q.step - 1] = 1;
   Decision answer;
   const auto now_in = in[q.step - 1], now_possible = possible[q.step - 1];
-  const auto whole = q.step == 1 ? now_in >= v.whole - kRounding : second_in && q.awaited == 0;
+  const auto whole = q.step == 1 ? now_in >= v.complete_share - kRounding : second_in && q.awaited == 0;
   const auto enough =
-      q.awaited == 0 && now_in >= v.min_merge_share - kRounding && (q.step == 1 || v.min_merge_share < v.whole || second_in);
+      q.awaited == 0 && now_in >= v.min_merge_share - kRounding && (q.step == 1 || v.min_merge_share < v.complete_share || second_in);
   if (whole) {
     answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial;
     answer.why = explain(Reason::complete, now_in);
     return answer;
   }
-  const auto need = q.step == 1 ? v.whole : 1;
+  const auto need = q.step == 1 ? v.complete_share : 1;
   const auto settled = now_possible <= now_in + kRounding;  // nothing more can come
   const auto late = now >= verticals.slo_end(q);
   const auto over = now >= verticals.last_end(q);
@@ -287,7 +287,7 @@
     answer.why = explain(Reason::partial, now_in);
     return answer;
   }
-  const auto least = v.min_merge_share < v.whole ? v.min_merge_share : need;
+  const auto least = v.min_merge_share < v.complete_share ? v.min_merge_share : need;
   if (now_possible < least - kRounding) return give_up(q, explain(Reason::share_unreachable, now_in, now_possible));
   if (over || (late && v.late_utility <= 0)) return give_up(q, explain(Reason::deadline_passed, now_in));
   return answer;
