--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -30,7 +30,7 @@
   double window = 0;  // deduplicated: repeats are dropped for so long
   double min_merge_share = 1;   // share of the weight below which nothing may be merged
   double complete_share = 1;   // share of the weight that makes a whole answer
-  double partial_earns = 0;
+  double partial_utility = 0;
   int second_step = 0;  // parts of the second step
 };
 
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -282,7 +282,7 @@
   const auto settled = now_possible <= now_in + kRounding;  // nothing more can come
   const auto late = now >= verticals.slo_end(q);
   const auto over = now >= verticals.last_end(q);
-  if (enough && (settled || over || (late && v.partial_earns * now_in > v.late_utility))) {
+  if (enough && (settled || over || (late && v.partial_utility * now_in > v.late_utility))) {
     answer.end = QueryEnd::merge_partial;
     answer.why = explain(Reason::partial, now_in);
     return answer;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -162,7 +162,7 @@
     if (v.effect == Effect::deduplicated) v.window = read.seconds(path + "window_us");
     v.min_merge_share = least[i];
     v.complete_share = whole[i];
-    v.partial_earns = earns[i];
+    v.partial_utility = earns[i];
     v.second_step = static_cast<int>(steps[i]);
     s.verticals.push_back(v);
   }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -641,7 +641,7 @@
   auto s = settings();
   s.verticals[0].late_utility = 0;
   s.verticals[0].min_merge_share = 0.5;
-  s.verticals[0].partial_earns = 0.9;
+  s.verticals[0].partial_utility = 0.9;
   for (const auto& row : {Row{1, QueryEnd::none, QueryEnd::reject}, Row{2, QueryEnd::none, QueryEnd::merge_partial},
                           Row{4, QueryEnd::merge_complete, QueryEnd::merge_complete}}) {
     CAPTURE(row.in);
