--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -31,7 +31,7 @@
   double min_merge_share = 1;   // share of the weight below which nothing may be merged
   double complete_share = 1;   // share of the weight that makes a whole answer
   double partial_utility = 0;
-  int second_step = 0;  // parts of the second step
+  int second_step_parts = 0;  // parts of the second step
 };
 
 struct Customer {
--- a/src/policy/verticals.hpp
+++ b/src/policy/verticals.hpp
@@ -46,7 +46,7 @@
     return std::min(q.taken + told(q).slo_time + told(q).slo_stretch * q.work, q.expires) - margin;
   }
   double last_end(const Query& q) const { return q.expires - margin; }
-  int steps(const Query& q) const { return told(q).second_step > 0 ? 2 : 1; }
+  int steps(const Query& q) const { return told(q).second_step_parts > 0 ? 2 : 1; }
   double step_time(const Query& q) const { return std::max(slo_end(q) - q.taken, margin) / steps(q); }
   // The time of a step where the client waits to the SLO time. Strain is measured against it: what the
   // hurried part of the clients leaves would make the nodes look strained to all others.
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -10,7 +10,7 @@
 Queries::Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed,
                  TimerQueue& due, QueryActions& actions)
     : decisions_(std::move(decisions)), sites_(settings, seed), due_(due), actions_(actions) {
-  for (const auto& vertical : settings.verticals) second_steps_.push_back(vertical.second_step);
+  for (const auto& vertical : settings.verticals) second_steps_.push_back(vertical.second_step_parts);
 }
 
 // What is believed of sites is told before the module is asked again: the same turn that brings the evidence
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -163,7 +163,7 @@
     v.min_merge_share = least[i];
     v.complete_share = whole[i];
     v.partial_utility = earns[i];
-    v.second_step = static_cast<int>(steps[i]);
+    v.second_step_parts = static_cast<int>(steps[i]);
     s.verticals.push_back(v);
   }
   const auto customers = names(setup, "customers");
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -658,7 +658,7 @@
 
 TEST_CASE("a second step is whole only after a whole first one") {
   auto s = settings();
-  s.verticals[0].second_step = 1;
+  s.verticals[0].second_step_parts = 1;
   for (const bool first_whole : {false, true}) {
     Rig rig(s);
     auto q = rig.query(0, 1);
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -85,7 +85,7 @@
 
 TEST_CASE("a second step goes to the shards whose answers that counted score highest") {
   auto s = settings();
-  s.verticals[0].second_step = 2;
+  s.verticals[0].second_step_parts = 2;
   Desk desk(s);
   desk.serve(20);
   desk.take(0, 3);
