--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -27,7 +27,7 @@
   double utility = 1;
   double late_utility = 0;  // share of the utility after the SLO time
   Effect effect = Effect::repeatable;
-  double window = 0;  // deduplicated: repeats are dropped for so long
+  double dedup_window = 0;  // deduplicated: repeats are dropped for so long
   double min_merge_share = 1;   // share of the weight below which nothing may be merged
   double complete_share = 1;   // share of the weight that makes a whole answer
   double partial_utility = 0;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -149,7 +149,7 @@
     const auto& v = of(q);
     const auto ran = std::find_if(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
     if (v.effect == Effect::repeatable || ran == leaf.calls.end()) return kNever;
-    return v.effect == Effect::deduplicated ? ran->sent + v.window - kMargin : 0;
+    return v.effect == Effect::deduplicated ? ran->sent + v.dedup_window - kMargin : 0;
   }
 
   void place(const Query& q, int index, Decision& answer, double now) {
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -110,7 +110,7 @@
   if (v.effect == Effect::repeatable) return kNever;
   const auto first = std::find_if(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
   if (first == leaf.calls.end()) return kNever;
-  return v.effect == Effect::deduplicated ? first->sent + v.window - verticals.margin - kMaxSendStallSeconds : 0;
+  return v.effect == Effect::deduplicated ? first->sent + v.dedup_window - verticals.margin - kMaxSendStallSeconds : 0;
 }
 
 // The node for a part, or why there is none.
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -159,7 +159,7 @@
     v.utility = read.number(path + "credit", 0);
     v.late_utility = read.number(path + "late_worth", 0);
     v.effect = effect(required(setup, path + "semantics"));
-    if (v.effect == Effect::deduplicated) v.window = read.seconds(path + "window_us");
+    if (v.effect == Effect::deduplicated) v.dedup_window = read.seconds(path + "window_us");
     v.min_merge_share = least[i];
     v.complete_share = whole[i];
     v.partial_utility = earns[i];
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -230,7 +230,7 @@
   CHECK(config.known.version == 4);
   REQUIRE(config.settings.verticals.size() == 3);
   CHECK(config.settings.verticals[1].effect == Effect::deduplicated);
-  CHECK(config.settings.verticals[1].window == 2);
+  CHECK(config.settings.verticals[1].dedup_window == 2);
   CHECK(config.settings.verticals[2].second_step_parts == 2);
   CHECK(config.settings.zone == 0);
   CHECK(config.settings.customers.empty());
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -19,7 +19,7 @@
     v.slo_time = 1;
     v.late_utility = 0.5;
     v.effect = effect;
-    v.window = 2;
+    v.dedup_window = 2;
     s.verticals.push_back(v);
   }
   s.zone = 0;
