--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -43,7 +43,7 @@
   std::vector<Customer> customers;
   int routers = 1;
   int zone = kNone;
-  double tick = 0;  // the least time between two rounds
+  double timer_resolution = 0;  // the least time between two rounds
   int max_calls = 1;
   bool may_copy = false;
   bool may_cancel = false;
--- a/src/policy/verticals.cpp
+++ b/src/policy/verticals.cpp
@@ -30,7 +30,7 @@
 VerticalState::VerticalState(const Vertical& v) : is(v), delay(kStartShare * v.slo_time) {}
 
 Verticals::Verticals(const Settings& s)
-    : margin(kMargin + 2 * s.tick), all(s.verticals.begin(), s.verticals.end()) {}
+    : margin(kMargin + 2 * s.timer_resolution), all(s.verticals.begin(), s.verticals.end()) {}
 
 // By how much longer a part should take than an average one, by its hint; a wrong one does little harm.
 double Verticals::excess(const Leaf& leaf) const {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -173,7 +173,7 @@
   const auto zones = split(required(setup, "zones"), ',');
   const auto zone = std::find(zones.begin(), zones.end(), required(setup, "zone"));
   s.zone = zone == zones.end() ? kNone : static_cast<int>(zone - zones.begin());
-  s.tick = read.seconds("resolution_us");
+  s.timer_resolution = read.seconds("resolution_us");
   s.max_calls = read.count("bounds.max_attempts", 1);
   s.may_copy = read.flag("bounds.may_duplicate");
   s.may_cancel = read.flag("bounds.cancel");
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -23,7 +23,7 @@
     s.verticals.push_back(v);
   }
   s.zone = 0;
-  s.tick = 0.005;
+  s.timer_resolution = 0.005;
   s.max_calls = 3;
   s.may_copy = s.may_cancel = true;
   s.max_stay_away = 0.5;
