--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -47,7 +47,7 @@
   int max_calls = 1;
   bool may_copy = false;
   bool may_cancel = false;
-  bool may_tell = false;  // the other routers of the tier can be told of what was sent
+  bool may_send_peer_reports = false;  // the other routers of the tier can be told of what was sent
   bool must_ask_list = false;
   double max_stay_away = 0;
   double over_share = 1;  // utility of what goes over a customer's share
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -94,7 +94,7 @@
       parts_a_call(s.parts_a_call),
       cells(s.cells),
       span(std::min(s.span, s.cells)),
-      may_tell(s.may_tell && s.routers > 1),
+      may_tell(s.may_send_peer_reports && s.routers > 1),
       by_cell(static_cast<std::size_t>(s.cells)) {}
 
 Node Nodes::unheard() const {
--- a/src/router/config.cpp
+++ b/src/router/config.cpp
@@ -44,7 +44,7 @@
   config.setup = pairs(object_field(object, "settings"));
   check_shape(config.setup);
   config.settings = settings(config.setup);
-  config.peers_left_out = std::exchange(config.settings.may_tell, false);
+  config.peers_left_out = std::exchange(config.settings.may_send_peer_reports, false);
   config.bounds = bounds(config.setup);
   std::string shared = fmt::format("{}/{}", config.sockets, config.memory);
   for (const auto& [path, value] : config.setup)
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -589,7 +589,7 @@
 
 TEST_CASE("what other routers have waiting at a node counts, until they tell of its end") {
   auto s = settings();
-  s.may_tell = true;
+  s.may_send_peer_reports = true;
   s.routers = 2;
   Rig rig(s);
   CHECK(rig.serve(30, 0.05)[0] > 0);
@@ -615,7 +615,7 @@
 
 TEST_CASE("a node that others find slow gets less, and nothing told clears a suspicion") {
   auto s = settings();
-  s.may_tell = true;
+  s.may_send_peer_reports = true;
   s.routers = 2;
   Rig rig(s);
   rig.pass(30);
