--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -426,7 +426,7 @@
   // Where routers refuse, nodes answer less than they could: cold nodes stood idle beside full ones.
   const auto rate = s.nodes.up > 0 ? s.answered.recent(now) / kWindow / s.nodes.up : 0;
   s.nodes.cold.node_rate = std::max(rate, s.nodes.cold.node_rate * std::exp(-kPeriod / kCapacityDrift));
-  const auto ask = s.is.must_ask_list && now >= s.ask_after;
+  const auto ask = s.is.must_request_node_list && now >= s.ask_after;
   if (ask) s.ask_after = now + kListPatience;
   return ask;
 }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -857,7 +857,7 @@
 
 TEST_CASE("where the list must be asked for it is asked until it comes") {
   auto s = settings();
-  s.must_ask_list = true;
+  s.must_request_node_list = true;
   AdaptiveRoutingPolicy brain(s, 1, 100);
   brain.list(Rig(s).hosts, true, false);  // known last: nothing that discovery said
   CHECK(brain.tick(100.1));
@@ -873,7 +873,7 @@
 
 TEST_CASE("routers that were turned away together do not ask again together") {
   auto s = settings();
-  s.must_ask_list = true;
+  s.must_request_node_list = true;
   std::set<int> rounds;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     AdaptiveRoutingPolicy brain(s, seed, 100);
