--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -134,7 +134,7 @@
             return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
           });
       answer.end = harmless ? QueryEnd::reject : QueryEnd::abort;
-      answer.stay_away = is_.max_stay_away;
+      answer.stay_away = is_.max_retry_after;
       answer.why = explain(over ? Reason::deadline_passed : Reason::share_unreachable);
     }
     return answer;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -840,7 +840,7 @@
 TEST_CASE("queries are refused earlier where a client can be told when to come back") {
   for (const double stay_away : {0.0, 0.5}) {
     auto s = settings();
-    s.max_stay_away = stay_away;
+    s.max_retry_after = stay_away;
     Rig rig(s);
     int refused = 0;
     for (int i = 0; i < 60; ++i) {
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -26,7 +26,7 @@
   s.timer_resolution = 0.005;
   s.max_calls = 3;
   s.may_copy = s.may_cancel = true;
-  s.max_stay_away = 0.5;
+  s.max_retry_after = 0.5;
   s.cells = s.span = 3;
   s.start_capacity = 0.25;
   s.cold_time = 10;
