--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -50,7 +50,7 @@
   bool may_send_peer_reports = false;  // the other routers of the tier can be told of what was sent
   bool must_request_node_list = false;
   double max_retry_after = 0;
-  double over_share = 1;  // utility of what goes over a customer's share
+  double over_quota_utility = 1;  // utility of what goes over a customer's share
   bool utility_by_work = false;
   int parts_a_call = 1;
   int cells = 1;
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 Admission::Admission(const Settings& s, double now)
-    : over_share(s.over_share),
+    : over_share(s.over_quota_utility),
       utility_by_work(s.utility_by_work),
       strain_from(s.max_retry_after > 0 ? kStrainFrom : kStrainFrom + kAtOnce) {
   for (const auto& c : s.customers) customers.push_back({c.quota / s.routers, c.quota / s.routers, now});
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -180,7 +180,7 @@
   s.may_send_peer_reports = setup.contains("bounds.peer_messages") && read.flag("bounds.peer_messages");
   s.must_request_node_list = required(setup, "discovery") == "ask";
   s.max_retry_after = read.flag("bounds.retry_after") ? read.seconds("bounds.max_retry_after_us") : 0;
-  s.over_share = read.optional("over_share_worth", 1);
+  s.over_quota_utility = read.optional("over_share_worth", 1);
   s.utility_by_work = required(setup, "worth_by") == "work";
   s.parts_a_call = read.count("domain.parts_a_call", 1);
   s.cells = read.count("domain.places", 1);
