--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -91,7 +91,7 @@
 Nodes::Nodes(const Settings& s)
     : cold(s),
       zone(s.zone),
-      parts_a_call(s.parts_a_call),
+      parts_a_call(s.max_parts_per_call),
       cells(s.cells),
       span(std::min(s.span, s.cells)),
       may_tell(s.may_send_peer_reports && s.routers > 1),
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -182,7 +182,7 @@
   s.max_retry_after = read.flag("bounds.retry_after") ? read.seconds("bounds.max_retry_after_us") : 0;
   s.over_quota_utility = read.optional("over_share_worth", 1);
   s.utility_by_work = required(setup, "worth_by") == "work";
-  s.parts_a_call = read.count("domain.parts_a_call", 1);
+  s.max_parts_per_call = read.count("domain.parts_a_call", 1);
   s.cells = read.count("domain.places", 1);
   s.span = read.count("domain.span", 1);
   s.start_capacity = read.number("contract.start_capacity", 0);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -698,7 +698,7 @@
 
 TEST_CASE("parts of one query that go to one node share a call") {
   auto s = settings();
-  s.parts_a_call = 4;
+  s.max_parts_per_call = 4;
   Rig rig(s);
   auto q = rig.query(0, 9);
   const auto answer = rig.route(q);
