--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -53,7 +53,7 @@
   double over_quota_utility = 1;  // utility of what goes over a customer's share
   bool utility_by_work = false;
   int max_parts_per_call = 1;
-  int cells = 1;
+  int cell_count = 1;
   int span = 1;  // cells that hold a shard, from cell (shard mod cells) on
   double start_capacity = 1;
   double cold_time = 0;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -78,9 +78,9 @@
         hosts_.resize(static_cast<std::size_t>(host.node) + 1);
       hosts_[static_cast<std::size_t>(host.node)] = host;
     }
-    by_cell_.assign(static_cast<std::size_t>(is_.cells), {});
+    by_cell_.assign(static_cast<std::size_t>(is_.cell_count), {});
     for (const auto& host : hosts_)
-      if ((host.up || breaks(Design::Broken::drains)) && host.cell >= 0 && host.cell < is_.cells)
+      if ((host.up || breaks(Design::Broken::drains)) && host.cell >= 0 && host.cell < is_.cell_count)
         by_cell_[static_cast<std::size_t>(host.cell)].push_back(host.node);
   }
   void forget(int) override {}
@@ -188,10 +188,10 @@
 
   int choose(const Leaf& leaf, double now, int but) {
     std::vector<int> holders, others;
-    for (int i = 0; i < std::min(is_.span, is_.cells); ++i)
+    for (int i = 0; i < std::min(is_.span, is_.cell_count); ++i)
       for (const auto node : by_cell_.empty()
                                  ? std::vector<int>{}
-                                 : by_cell_[static_cast<std::size_t>((leaf.shard + i) % is_.cells)]) {
+                                 : by_cell_[static_cast<std::size_t>((leaf.shard + i) % is_.cell_count)]) {
         const auto& host = hosts_[static_cast<std::size_t>(node)];
         const auto cold = host.born > 0 && now < host.born + is_.cold_time && !breaks(Design::Broken::cold);
         if (node == but || cold) continue;
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -137,7 +137,7 @@
   PlannedTown town;
   town.sites = static_cast<int>(zones.size());
   town.shards = config.bounds.shards;
-  town.cells = config.settings.cells;
+  town.cells = config.settings.cell_count;
   town.span = config.settings.span;
   town.settings = config.settings;
   std::vector<int> many(zones.size(), 0);
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -92,10 +92,10 @@
     : cold(s),
       zone(s.zone),
       parts_a_call(s.max_parts_per_call),
-      cells(s.cells),
-      span(std::min(s.span, s.cells)),
+      cells(s.cell_count),
+      span(std::min(s.span, s.cell_count)),
       may_tell(s.may_send_peer_reports && s.routers > 1),
-      by_cell(static_cast<std::size_t>(s.cells)) {}
+      by_cell(static_cast<std::size_t>(s.cell_count)) {}
 
 Node Nodes::unheard() const {
   Node node;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -183,7 +183,7 @@
   s.over_quota_utility = read.optional("over_share_worth", 1);
   s.utility_by_work = required(setup, "worth_by") == "work";
   s.max_parts_per_call = read.count("domain.parts_a_call", 1);
-  s.cells = read.count("domain.places", 1);
+  s.cell_count = read.count("domain.places", 1);
   s.span = read.count("domain.span", 1);
   s.start_capacity = read.number("contract.start_capacity", 0);
   s.cold_time = read.seconds("contract.cold_us");
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -27,7 +27,7 @@
   s.max_calls = 3;
   s.may_copy = s.may_cancel = true;
   s.max_retry_after = 0.5;
-  s.cells = s.span = 3;
+  s.cell_count = s.span = 3;
   s.start_capacity = 0.25;
   s.cold_time = 10;
   s.fall_multiple = 2;
@@ -38,7 +38,7 @@
 class Rig {
  public:
   explicit Rig(const Settings& s = settings(), int nodes = 3) : brain(s, 7, now) {
-    for (int i = 0; i < nodes; ++i) hosts.push_back({i, 0, i % s.cells, true, 0});
+    for (int i = 0; i < nodes; ++i) hosts.push_back({i, 0, i % s.cell_count, true, 0});
     brain.list(hosts, true);
   }
 
