--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -54,7 +54,7 @@
   bool utility_by_work = false;
   int max_parts_per_call = 1;
   int cell_count = 1;
-  int span = 1;  // cells that hold a shard, from cell (shard mod cells) on
+  int cells_per_shard = 1;  // cells that hold a shard, from cell (shard mod cells) on
   double start_capacity = 1;
   double cold_time = 0;
   double fall_multiple = 1;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -188,7 +188,7 @@
 
   int choose(const Leaf& leaf, double now, int but) {
     std::vector<int> holders, others;
-    for (int i = 0; i < std::min(is_.span, is_.cell_count); ++i)
+    for (int i = 0; i < std::min(is_.cells_per_shard, is_.cell_count); ++i)
       for (const auto node : by_cell_.empty()
                                  ? std::vector<int>{}
                                  : by_cell_[static_cast<std::size_t>((leaf.shard + i) % is_.cell_count)]) {
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -138,7 +138,7 @@
   town.sites = static_cast<int>(zones.size());
   town.shards = config.bounds.shards;
   town.cells = config.settings.cell_count;
-  town.span = config.settings.span;
+  town.span = config.settings.cells_per_shard;
   town.settings = config.settings;
   std::vector<int> many(zones.size(), 0);
   int nowhere = 0;
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -93,7 +93,7 @@
       zone(s.zone),
       parts_a_call(s.max_parts_per_call),
       cells(s.cell_count),
-      span(std::min(s.span, s.cell_count)),
+      span(std::min(s.cells_per_shard, s.cell_count)),
       may_tell(s.may_send_peer_reports && s.routers > 1),
       by_cell(static_cast<std::size_t>(s.cell_count)) {}
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -184,7 +184,7 @@
   s.utility_by_work = required(setup, "worth_by") == "work";
   s.max_parts_per_call = read.count("domain.parts_a_call", 1);
   s.cell_count = read.count("domain.places", 1);
-  s.span = read.count("domain.span", 1);
+  s.cells_per_shard = read.count("domain.span", 1);
   s.start_capacity = read.number("contract.start_capacity", 0);
   s.cold_time = read.seconds("contract.cold_us");
   s.fall_multiple = read.number("contract.fall_multiple", 0);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -965,7 +965,7 @@
 
 TEST_CASE("choices past the bound are counted, not kept") {
   auto s = settings();
-  s.cell_count = s.span = 1;
+  s.cell_count = s.cells_per_shard = 1;
   Rig rig(s, 700);
   rig.brain.explain(true);
   auto q = rig.query(0, 1);
@@ -989,7 +989,7 @@
   }
   static Settings six() {
     auto s = settings();
-    s.cell_count = s.span = 6;
+    s.cell_count = s.cells_per_shard = 6;
     s.zone = kNone;  // neither is nearer
     return s;
   }
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -27,7 +27,7 @@
   s.max_calls = 3;
   s.may_copy = s.may_cancel = true;
   s.max_retry_after = 0.5;
-  s.cell_count = s.span = 3;
+  s.cell_count = s.cells_per_shard = 3;
   s.start_capacity = 0.25;
   s.cold_time = 10;
   s.fall_multiple = 2;
