--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -56,7 +56,7 @@
   int cell_count = 1;
   int cells_per_shard = 1;  // cells that hold a shard, from cell (shard mod cells) on
   double start_capacity = 1;
-  double cold_time = 0;
+  double slow_start_time = 0;
   double fall_multiple = 1;
   double fall_time = 0;
   double extra_span = 0;  // 0: no budget is stated
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 Cold::Cold(const Settings& s)
-    : time(s.cold_time),
+    : time(s.slow_start_time),
       start(s.start_capacity),
       rate(s.fall_multiple / kBusy),
       fall_time(s.fall_time),
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -47,7 +47,7 @@
 DepartureLimits departure_limits(const Operators& operators, const Settings& settings) {
   const auto& d = operators.departures;
   return {d.slow,    d.stall,  d.least, d.fails, d.flaps,
-          d.reports, d.alarms, d.fleet, d.most,  settings.cold_time};
+          d.reports, d.alarms, d.fleet, d.most,  settings.slow_start_time};
 }
 
 // A load report's figures, whatever they are set apart by; nullopt: none that is known.
@@ -116,7 +116,7 @@
       unix_at_zero_(unix_at_zero()),
       shutdown_(config.bounds.longest_wait),
       still_(kReadsFirstAfter),
-      node_ages_(config.settings.cold_time),
+      node_ages_(config.settings.slow_start_time),
       standing_({config.name, site_of(config), config.verticals}, config.seed, now(), unix_at_zero_, log,
                 {[this] { watch_.ask_again(); }, [this] { reload(); },
                  [this](const asio::ip::tcp::endpoint& at) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -186,7 +186,7 @@
   s.cell_count = read.count("domain.places", 1);
   s.cells_per_shard = read.count("domain.span", 1);
   s.start_capacity = read.number("contract.start_capacity", 0);
-  s.cold_time = read.seconds("contract.cold_us");
+  s.slow_start_time = read.seconds("contract.cold_us");
   s.fall_multiple = read.number("contract.fall_multiple", 0);
   s.fall_time = read.seconds("contract.overload_for_us");
   s.extra_span = read.optional("contract.ratio_span_us", 0) / 1e6;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -560,7 +560,7 @@
 TEST_CASE("rule 4: the neighbouring parts of a query can meet at a cold node where they are spaced out") {
   auto s = settings();
   s.routers = 40;
-  s.cold_time = 1000;
+  s.slow_start_time = 1000;
   Rig rig(s, 1);
   rig.hosts[0].born = rig.now;
   rig.brain.list(rig.hosts, true);
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -29,7 +29,7 @@
     Settings s;
     s.zone = own;
     s.start_capacity = 0.3;
-    s.cold_time = 10;
+    s.slow_start_time = 10;
     s.fall_multiple = 2;
     return s;
   }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -21,7 +21,7 @@
   static Settings settings_for(int routers) {
     auto s = test::settings();
     s.routers = routers;
-    s.cold_time = 1e6;  // so that it stays as cold as it is
+    s.slow_start_time = 1e6;  // so that it stays as cold as it is
     return s;
   }
   // How many parts of this work it is sent where many wait for it from `from` on.
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -29,7 +29,7 @@
   s.max_retry_after = 0.5;
   s.cell_count = s.cells_per_shard = 3;
   s.start_capacity = 0.25;
-  s.cold_time = 10;
+  s.slow_start_time = 10;
   s.fall_multiple = 2;
   s.fall_time = 1;
   return s;
