--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -57,7 +57,7 @@
   int cells_per_shard = 1;  // cells that hold a shard, from cell (shard mod cells) on
   double start_capacity = 1;
   double slow_start_time = 0;
-  double fall_multiple = 1;
+  double overload_multiple = 1;
   double fall_time = 0;
   double extra_span = 0;  // 0: no budget is stated
   double extra_free = 0;
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -32,7 +32,7 @@
 Cold::Cold(const Settings& s)
     : time(s.slow_start_time),
       start(s.start_capacity),
-      rate(s.fall_multiple / kBusy),
+      rate(s.overload_multiple / kBusy),
       fall_time(s.fall_time),
       routers(std::max(s.routers, 1)) {}
 
--- a/src/sites/sites.cpp
+++ b/src/sites/sites.cpp
@@ -45,7 +45,7 @@
 double return_time(const Settings& s, bool cold) {
   const auto steps = std::ceil(std::log2(1 / kFirstShare)) * kStep;
   if (!cold || s.slow_start_time <= 0 || s.start_capacity >= 1) return steps;
-  const auto needed = 1 / std::max(kMargin * s.fall_multiple, 1e-9);
+  const auto needed = 1 / std::max(kMargin * s.overload_multiple, 1e-9);
   return std::max(steps, s.slow_start_time * (std::min(needed, 1.0) - s.start_capacity) / (1 - s.start_capacity));
 }
 
@@ -53,7 +53,7 @@
     : own_(s.zone),
       start_(s.start_capacity),
       cold_time_(s.slow_start_time),
-      fall_(s.fall_multiple),
+      fall_(s.overload_multiple),
       chance_(static_cast<std::uint_fast32_t>(seed * 31 + 7)) {}
 
 void Sites::on(bool on) {
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -30,7 +30,7 @@
     s.zone = own;
     s.start_capacity = 0.3;
     s.slow_start_time = 10;
-    s.fall_multiple = 2;
+    s.overload_multiple = 2;
     return s;
   }
   void site(int which, Fate what) {
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -30,7 +30,7 @@
   s.cell_count = s.cells_per_shard = 3;
   s.start_capacity = 0.25;
   s.slow_start_time = 10;
-  s.fall_multiple = 2;
+  s.overload_multiple = 2;
   s.fall_time = 1;
   return s;
 }
