--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -58,7 +58,7 @@
   double start_capacity = 1;
   double slow_start_time = 0;
   double overload_multiple = 1;
-  double fall_time = 0;
+  double overload_time = 0;
   double extra_span = 0;  // 0: no budget is stated
   double extra_free = 0;
   double extra_share = 0;
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -33,7 +33,7 @@
     : time(s.slow_start_time),
       start(s.start_capacity),
       rate(s.overload_multiple / kBusy),
-      fall_time(s.fall_time),
+      fall_time(s.overload_time),
       routers(std::max(s.routers, 1)) {}
 
 // The least share of its capacity that a node has, by its start and the slowest ramp.
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -31,7 +31,7 @@
   s.start_capacity = 0.25;
   s.slow_start_time = 10;
   s.overload_multiple = 2;
-  s.fall_time = 1;
+  s.overload_time = 1;
   return s;
 }
 
