--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -59,7 +59,7 @@
   double slow_start_time = 0;
   double overload_multiple = 1;
   double overload_time = 0;
-  double extra_span = 0;  // 0: no budget is stated
+  double retry_budget_window = 0;  // 0: no budget is stated
   double extra_free = 0;
   double extra_share = 0;
 };
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -75,8 +75,8 @@
       relative_work(aims(s)),
       is(s),
       chance(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
-      taken(s.extra_span - verticals.margin),   // a little short, and the further calls a little long:
-      extras(s.extra_span + verticals.margin),  // so that the budget holds in any window
+      taken(s.retry_budget_window - verticals.margin),   // a little short, and the further calls a little long:
+      extras(s.retry_budget_window + verticals.margin),  // so that the budget holds in any window
       ticked(now),
       ask_after(now),
       called(now) {}
@@ -97,7 +97,7 @@
   if (nodes.cold.is(node, now) &&
       !nodes.cold.allows(node, relative_work.of(q.vertical), now, chance))  // rule 4
     return explain(Reason::slow_start, node.sent.recent(now), nodes.cold.most(node, now));
-  if (leaf.attempts() > 0 && is.extra_span > 0) {  // rule 6
+  if (leaf.attempts() > 0 && is.retry_budget_window > 0) {  // rule 6
     const auto most = is.extra_free + is.extra_share * taken.recent(now);
     if (extras.recent(now) + 1 > most) return explain(Reason::retry_budget_spent, extras.recent(now), most);
   }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -464,7 +464,7 @@
     "calls that never left this router spend neither the attempts of a part nor the budget of further ones") {
   auto s = settings();
   s.max_calls = 2;
-  s.extra_span = 2;  // a budget of no further call at all
+  s.retry_budget_window = 2;  // a budget of no further call at all
   Rig rig(s, 3);
   auto q = rig.query(0, 1);
   for (int unsent = 0; unsent < 3; ++unsent) {
@@ -677,7 +677,7 @@
 
 TEST_CASE("rule 6: further leaf calls stay within the budget of the span") {
   auto s = settings();
-  s.extra_span = 10;
+  s.retry_budget_window = 10;
   s.extra_free = 2;
   s.extra_share = 0.1;
   Rig rig(s, 60);  // so that none becomes suspect
