--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -60,7 +60,7 @@
   double overload_multiple = 1;
   double overload_time = 0;
   double retry_budget_window = 0;  // 0: no budget is stated
-  double extra_free = 0;
+  double retry_budget_min = 0;
   double extra_share = 0;
 };
 
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -678,7 +678,7 @@
 TEST_CASE("rule 6: further leaf calls stay within the budget of the span") {
   auto s = settings();
   s.retry_budget_window = 10;
-  s.extra_free = 2;
+  s.retry_budget_min = 2;
   s.extra_share = 0.1;
   Rig rig(s, 60);  // so that none becomes suspect
   int extra = 0;
