--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -61,7 +61,7 @@
   double overload_time = 0;
   double retry_budget_window = 0;  // 0: no budget is stated
   double retry_budget_min = 0;
-  double extra_share = 0;
+  double retry_budget_ratio = 0;
 };
 
 struct DiscoveredNode {
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -98,7 +98,7 @@
       !nodes.cold.allows(node, relative_work.of(q.vertical), now, chance))  // rule 4
     return explain(Reason::slow_start, node.sent.recent(now), nodes.cold.most(node, now));
   if (leaf.attempts() > 0 && is.retry_budget_window > 0) {  // rule 6
-    const auto most = is.retry_budget_min + is.extra_share * taken.recent(now);
+    const auto most = is.retry_budget_min + is.retry_budget_ratio * taken.recent(now);
     if (extras.recent(now) + 1 > most) return explain(Reason::retry_budget_spent, extras.recent(now), most);
   }
   return {};
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -191,7 +191,7 @@
   s.overload_time = read.seconds("contract.overload_for_us");
   s.retry_budget_window = read.optional("contract.ratio_span_us", 0) / 1e6;
   s.retry_budget_min = read.optional("contract.min_extra", 0);
-  s.extra_share = read.optional("contract.budget_share", 0);
+  s.retry_budget_ratio = read.optional("contract.budget_share", 0);
   return s;
 }
 
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -679,7 +679,7 @@
   auto s = settings();
   s.retry_budget_window = 10;
   s.retry_budget_min = 2;
-  s.extra_share = 0.1;
+  s.retry_budget_ratio = 0.1;
   Rig rig(s, 60);  // so that none becomes suspect
   int extra = 0;
   for (int i = 0; i < 20; ++i) {  // takes 40 queries and parts: 2 + 4 further calls
