--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -41,7 +41,7 @@
 struct Settings {
   std::vector<Vertical> verticals;
   std::vector<Customer> customers;
-  int routers = 1;
+  int router_count = 1;
   int zone = kNone;
   double timer_resolution = 0;  // the least time between two rounds
   int max_calls = 1;
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -34,7 +34,7 @@
       start(s.start_capacity),
       rate(s.overload_multiple / kBusy),
       fall_time(s.overload_time),
-      routers(std::max(s.routers, 1)) {}
+      routers(std::max(s.router_count, 1)) {}
 
 // The least share of its capacity that a node has, by its start and the slowest ramp.
 double Cold::capacity(const Node& node, double now) const {
@@ -94,7 +94,7 @@
       parts_a_call(s.max_parts_per_call),
       cells(s.cell_count),
       span(std::min(s.cells_per_shard, s.cell_count)),
-      may_tell(s.may_send_peer_reports && s.routers > 1),
+      may_tell(s.may_send_peer_reports && s.router_count > 1),
       by_cell(static_cast<std::size_t>(s.cell_count)) {}
 
 Node Nodes::unheard() const {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -169,7 +169,7 @@
   const auto customers = names(setup, "customers");
   for (std::size_t i = 0; i < customers.size(); ++i)
     s.customers.push_back({read.number("customers." + std::to_string(i) + ".quota_rps", 0)});
-  s.routers = read.count("balancers", 1);
+  s.router_count = read.count("balancers", 1);
   const auto zones = split(required(setup, "zones"), ',');
   const auto zone = std::find(zones.begin(), zones.end(), required(setup, "zone"));
   s.zone = zone == zones.end() ? kNone : static_cast<int>(zone - zones.begin());
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -297,7 +297,7 @@
 TEST_CASE("a fleet of hundreds and a list of hundreds of changes") {
   auto s = settings();
   s.cell_count = 600;
-  s.routers = 900;
+  s.router_count = 900;
   Rig rig(s, 600);
   for (int round = 0; round < 20; ++round) {
     auto q = rig.query(0, 300);
@@ -528,7 +528,7 @@
 TEST_CASE("rule 4: many routers that know little space their parts to a cold node out") {
   for (const int routers : {1, 40}) {
     auto s = settings();
-    s.routers = routers;
+    s.router_count = routers;
     Rig rig(s, 1);
     rig.hosts[0].born = rig.now;
     rig.brain.list(rig.hosts, true);
@@ -559,7 +559,7 @@
 
 TEST_CASE("rule 4: the neighbouring parts of a query can meet at a cold node where they are spaced out") {
   auto s = settings();
-  s.routers = 40;
+  s.router_count = 40;
   s.slow_start_time = 1000;
   Rig rig(s, 1);
   rig.hosts[0].born = rig.now;
@@ -590,7 +590,7 @@
 TEST_CASE("what other routers have waiting at a node counts, until they tell of its end") {
   auto s = settings();
   s.may_send_peer_reports = true;
-  s.routers = 2;
+  s.router_count = 2;
   Rig rig(s);
   CHECK(rig.serve(30, 0.05)[0] > 0);
   CHECK(rig.brain.tell().size() == 60);  // each part sent, each call ended
@@ -616,7 +616,7 @@
 TEST_CASE("a node that others find slow gets less, and nothing told clears a suspicion") {
   auto s = settings();
   s.may_send_peer_reports = true;
-  s.routers = 2;
+  s.router_count = 2;
   Rig rig(s);
   rig.pass(30);
   for (int i = 0; i < 20; ++i) rig.brain.hear({0, 0.9}, rig.now);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -20,7 +20,7 @@
   }
   static Settings settings_for(int routers) {
     auto s = test::settings();
-    s.routers = routers;
+    s.router_count = routers;
     s.slow_start_time = 1e6;  // so that it stays as cold as it is
     return s;
   }
