--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -69,7 +69,7 @@
   int zone = kNone;
   int cell = 0;
   bool up = true;   // false: draining or gone
-  double born = 0;  // 0: long ago
+  double started_at = 0;  // 0: long ago
 };
 
 enum class Outcome {
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -126,13 +126,13 @@
     ways.resize(std::max(ways.size(), static_cast<std::size_t>(host.zone + 1)));
     listed_up += static_cast<int>(host.up) - static_cast<int>(node.up);
     node.up = host.up;
-    if (host.born != node.born) {
+    if (host.started_at != node.born) {
       node.latency = 0;  // a new process: what was learned of the old one says nothing
       node.bad_row = 0;
       node.told = 0;
       node.others.clear();
     }
-    node.born = host.born;
+    node.born = host.started_at;
   }
 }
 
--- a/src/sites/sites.cpp
+++ b/src/sites/sites.cpp
@@ -78,10 +78,10 @@
       nodes_.resize(static_cast<std::size_t>(host.node) + 1);
     auto& node = nodes_[static_cast<std::size_t>(host.node)];
     // A new process: what was said of the old one is no say of it.
-    if (host.born != node.born) node = {};
+    if (host.started_at != node.born) node = {};
     node.site = host.zone;
     node.up = host.up;
-    node.born = host.born;
+    node.born = host.started_at;
     if (host.zone >= 0 && static_cast<std::size_t>(host.zone) >= sites_.size())
       sites_.resize(static_cast<std::size_t>(host.zone) + 1);
   }
@@ -92,7 +92,7 @@
       const auto site = host.zone;
       if (site == kNone || !host.up) continue;
       const auto lost = at(site).belief == SiteBelief::lost || at(site).belief == SiteBelief::cut_off;
-      if (lost && host.born > at(site).lost_at) enter(site, SiteBelief::returning, now);
+      if (lost && host.started_at > at(site).lost_at) enter(site, SiteBelief::returning, now);
     }
   for (auto& site : sites_) site.nodes = 0;
   for (const auto& node : nodes_)
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -518,7 +518,7 @@
 TEST_CASE("rule 4: a cold node gets this router's share of what it can bear") {
   Rig rig;
   rig.serve(100, 0.05);  // 20 a second, 6.7 a node
-  rig.hosts[0].born = rig.now;
+  rig.hosts[0].started_at = rig.now;
   rig.brain.list(rig.hosts, true);
   CHECK(rig.serve(20, 0.05)[0] <= 3);
   rig.now += 11;
@@ -530,7 +530,7 @@
     auto s = settings();
     s.router_count = routers;
     Rig rig(s, 1);
-    rig.hosts[0].born = rig.now;
+    rig.hosts[0].started_at = rig.now;
     rig.brain.list(rig.hosts, true);
     int sent = 0;
     for (int i = 0; i < 9; ++i) {
@@ -548,7 +548,7 @@
   Rig rig;
   rig.serve(200, 0.05);
   rig.pass(12);  // nothing is asked: nothing is answered
-  rig.hosts[0].born = rig.now;
+  rig.hosts[0].started_at = rig.now;
   rig.brain.list(rig.hosts, true);
   auto q = rig.query(0, 60);
   int cold = 0;
@@ -562,7 +562,7 @@
   s.router_count = 40;
   s.slow_start_time = 1000;
   Rig rig(s, 1);
-  rig.hosts[0].born = rig.now;
+  rig.hosts[0].started_at = rig.now;
   rig.brain.list(rig.hosts, true);
   auto first = rig.query(0, 1, 1e4);
   if (!rig.route(first).sends.empty()) rig.settle(first, 0, Outcome::success);
@@ -605,7 +605,7 @@
   rig.brain.hear({77, 0.05}, rig.now);  // a node that is not listed
   // A new process has nothing waiting that the old one had.
   for (int i = 0; i < 5000; ++i) rig.brain.hear({0, 0}, rig.now);
-  rig.hosts[0].born = rig.now - 11;
+  rig.hosts[0].started_at = rig.now - 11;
   rig.brain.list(rig.hosts, false);
   auto fresh = rig.query(0, 9);
   int there = 0;
@@ -943,7 +943,7 @@
   CHECK(rig.route(full).why.reason == Reason::too_many_pending);
 
   rig.hosts[0].up = false;
-  rig.hosts[1].born = rig.now;
+  rig.hosts[1].started_at = rig.now;
   rig.brain.list(rig.hosts, true);
   CHECK(rig.brain.belief(1, rig.now) == NodeHealth::slow_start);
   CHECK(rig.brain.belief(2, rig.now) == NodeHealth::healthy);
@@ -1042,7 +1042,7 @@
   CHECK(answer.why.reason == Reason::too_few_reachable);
   CHECK(answer.stay_away > 0);
   // A process that began since the loss is not judged by it.
-  for (auto& host : town.hosts) host.born = town.now + 1;
+  for (auto& host : town.hosts) host.started_at = town.now + 1;
   town.pass(1.5);
   town.brain.list(town.hosts, true);
   auto again = town.query(0, 1);
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -59,7 +59,7 @@
       const auto shares = view.shares();
       if (!shares.empty()) {
         const auto& s = shares[static_cast<std::size_t>(of)];
-        const auto born = hosts[static_cast<std::size_t>(node)].born;
+        const auto born = hosts[static_cast<std::size_t>(node)].started_at;
         if (born <= s.since && s.lost && !s.trial) continue;
         if (born <= s.since && !s.lost && std::uniform_real_distribution<>(0, 1)(chance) >= s.share) continue;
       }
@@ -324,11 +324,11 @@
   REQUIRE(town.lost(1));
   town.view.list(town.hosts, true, town.now);
   CHECK(town.lost(1));
-  for (int n = 8; n < 16; ++n) town.hosts[static_cast<std::size_t>(n)].born = town.now;
+  for (int n = 8; n < 16; ++n) town.hosts[static_cast<std::size_t>(n)].started_at = town.now;
   town.view.list(town.hosts, true, town.now);
   CHECK(town.view.belief(1) == SiteBelief::returning);
   // The new processes are not judged by the old ones' loss.
-  CHECK(town.hosts[8].born > town.view.shares()[1].since);
+  CHECK(town.hosts[8].started_at > town.view.shares()[1].since);
 }
 
 TEST_CASE("an evacuation empties a site at its rate, is held back while another is lost, and ends") {
