--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -88,7 +88,7 @@
 struct Call {
   int node = kNone;
   int group = kNone;  // calls of one group travel together
-  double sent = 0;
+  double sent_at = 0;
   Outcome outcome = Outcome::pending;
 
   bool pending() const { return outcome == Outcome::pending; }
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -50,7 +50,7 @@
     }
     Decision answer;
     if (call.outcome != Outcome::success || leaf.in) return answer;
-    latencies_.add(now, {now - call.sent, false});
+    latencies_.add(now, {now - call.sent_at, false});
     leaf.in = true;
     for (std::size_t i = 0; i < leaf.calls.size(); ++i)
       if (leaf.calls[i].pending())
@@ -111,7 +111,7 @@
   double copy_at(const Leaf& leaf) const {
     if (design_.copies != Design::Copies::late || leaf.calls.size() != 1)
       return std::numeric_limits<double>::infinity();
-    return leaf.calls[0].sent + late_;
+    return leaf.calls[0].sent_at + late_;
   }
 
   Decision ending(const Query& q, double now) {
@@ -149,7 +149,7 @@
     const auto& v = of(q);
     const auto ran = std::find_if(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
     if (v.effect == Effect::repeatable || ran == leaf.calls.end()) return kNever;
-    return v.effect == Effect::deduplicated ? ran->sent + v.dedup_window - kMargin : 0;
+    return v.effect == Effect::deduplicated ? ran->sent_at + v.dedup_window - kMargin : 0;
   }
 
   void place(const Query& q, int index, Decision& answer, double now) {
@@ -165,7 +165,7 @@
                  : copies && !at_once && leaf.calls.size() == 1 && now >= copy_at(leaf) - 1e-6 &&
                        copied_.recent(now) + 1 <= kCopyShare * sent_.recent(now);
       if (!copy) return;
-    } else if (!may_send(q, leaf, now) || (!leaf.calls.empty() && now < leaf.calls.back().sent + kAgain)) {
+    } else if (!may_send(q, leaf, now) || (!leaf.calls.empty() && now < leaf.calls.back().sent_at + kAgain)) {
       return;
     }
     send(q, index,
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -24,7 +24,7 @@
 void cancel_pending(Decision& answer, const Leaf& leaf, int index, Reason reason, double now) {
   for (std::size_t i = 0; i < leaf.calls.size(); ++i)
     if (leaf.calls[i].pending())
-      answer.cancels.push_back({index, static_cast<int>(i), explain(reason, now - leaf.calls[i].sent)});
+      answer.cancels.push_back({index, static_cast<int>(i), explain(reason, now - leaf.calls[i].sent_at)});
 }
 
 std::vector<double> aims(const Settings& settings) {
@@ -110,7 +110,7 @@
   if (v.effect == Effect::repeatable) return kNever;
   const auto first = std::find_if(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
   if (first == leaf.calls.end()) return kNever;
-  return v.effect == Effect::deduplicated ? first->sent + v.dedup_window - verticals.margin - kMaxSendStallSeconds : 0;
+  return v.effect == Effect::deduplicated ? first->sent_at + v.dedup_window - verticals.margin - kMaxSendStallSeconds : 0;
 }
 
 // The node for a part, or why there is none.
@@ -128,7 +128,7 @@
     if (again && (beside || chosen != kNone)) break;
     // All calls of a part could else be spent within ms at the one node that is left and turns them away.
     const auto paused_until =
-        leaf.calls.empty() ? kNever : leaf.calls.back().sent + std::max(of(q).delay, kLeastPause);
+        leaf.calls.empty() ? kNever : leaf.calls.back().sent_at + std::max(of(q).delay, kLeastPause);
     if (again && now < paused_until) {
       if (!leaf.calls.empty() && because.reason == Reason::no_node_left)
         because = explain(Reason::retry_delayed, paused_until - now);
@@ -181,9 +181,9 @@
   return is.may_cancel && is.may_copy &&
          std::all_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& call) {
            const auto& node = at(call.node);
-           return !call.pending() || (nodes.lost(node) && call.sent <= nodes.site(node)->since) ||
-                  ((nodes.overtaken(node, call.sent, now) || (node.suspect && node.answered < call.sent)) &&
-                   now >= call.sent + of(q).lost + verticals.excess(leaf));
+           return !call.pending() || (nodes.lost(node) && call.sent_at <= nodes.site(node)->since) ||
+                  ((nodes.overtaken(node, call.sent_at, now) || (node.suspect && node.answered < call.sent_at)) &&
+                   now >= call.sent_at + of(q).lost + verticals.excess(leaf));
          });
 }
 
@@ -198,7 +198,7 @@
   if (out && !copy && !again)
     return judged.add(index, kNone,
                        due ? explain(Reason::copy_budget_spent, copies.recent(now), sent)
-                           : explain(Reason::within_hedge_delay, now - leaf.calls.back().sent, of(q).delay));
+                           : explain(Reason::within_hedge_delay, now - leaf.calls.back().sent_at, of(q).delay));
   Explanation because;
   double best = 0;
   const auto node = choose(q, index, out, now, best, because);
@@ -206,7 +206,7 @@
   // A copy helps where the other replica should answer within the delay that made this one late; when all are
   // slow it adds to the load. A lost part goes where it should take less than it has waited.
   const auto left = again && nodes.lost(at(leaf.calls.back().node));
-  const auto bound = left ? kNever : again ? now - leaf.calls.back().sent : of(q).delay;
+  const auto bound = left ? kNever : again ? now - leaf.calls.back().sent_at : of(q).delay;
   if (out && best > bound) return judged.add(index, kNone, explain(Reason::no_faster_node, best, bound));
   if (again) cancel_pending(answer, leaf, index, Reason::presumed_lost, now);
   because.reason = copy                 ? Reason::copy
@@ -299,10 +299,10 @@
   auto& node = at(call.node);
   nodes.touch(call.node);
   const auto usual_step = verticals.usual_step(q);
-  const auto age = std::max(now - call.sent - standstill, 0.0);
+  const auto age = std::max(now - call.sent_at - standstill, 0.0);
   const auto took = std::max(age - verticals.excess(leaf), age / 4);
-  if (const auto sent = node.waiting.find(call.sent); sent != node.waiting.end()) node.waiting.erase(sent);
-  if (const auto sent = v.waiting.find({call.sent, usual_step, call.node}); sent != v.waiting.end())
+  if (const auto sent = node.waiting.find(call.sent_at); sent != node.waiting.end()) node.waiting.erase(sent);
+  if (const auto sent = v.waiting.find({call.sent_at, usual_step, call.node}); sent != v.waiting.end())
     v.waiting.erase(sent);
   if (const auto group = node.groups.find(call.group); group != node.groups.end() && --group->second <= 0)
     node.groups.erase(group);
@@ -314,8 +314,8 @@
   const auto good = call.outcome == Outcome::success;
   const auto bound = call.outcome == Outcome::cancelled || call.outcome == Outcome::timed_out;
   if (!bound) node.answered = now;
-  if (bound && nodes.stray(node, call.sent, now)) return;
-  if (good) node.served = std::max(node.served, call.sent);
+  if (bound && nodes.stray(node, call.sent_at, now)) return;
+  if (good) node.served = std::max(node.served, call.sent_at);
   // A full node is strain though it answers at once: a fleet that turns most parts away would look idle.
   if (call.outcome == Outcome::overloaded) v.strain.add(now, {1, true});
   // What a suspect node holds back tells of that node, not of the others.
--- a/src/policy/verticals.hpp
+++ b/src/policy/verticals.hpp
@@ -57,7 +57,7 @@
   double timeout(const Query& q, double now) const {
     return (told(q).late_utility > 0 ? last_end(q) : slo_end(q)) - now;
   }
-  double copy_at(const Query& q, const Leaf& leaf) { return leaf.calls[0].sent + of(q).delay + excess(leaf); }
+  double copy_at(const Query& q, const Leaf& leaf) { return leaf.calls[0].sent_at + of(q).delay + excess(leaf); }
   double excess(const Leaf& leaf) const;
   double out(double now) const;
   void estimate(double now, double since, Nodes& nodes);
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -64,7 +64,7 @@
   if (outcome == Outcome::success && !held.query.leaves[index].in) held.scores[index] = score;
   --held.pending;
   actions_.ended(held.query.vertical, call);
-  sites_.ended(call.node, call.sent, outcome, now);
+  sites_.ended(call.node, call.sent_at, outcome, now);
   believe();
   if (witness_ != nullptr) witness_->settled(number, held.query, leaf, call_number, now);
   perform(number, held, decisions_->settle(held.query, leaf, call_number, now), now);
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -86,9 +86,9 @@
   e.query = static_cast<std::uint32_t>(query);
   e.leaf = static_cast<std::uint16_t>(leaf);
   e.call = static_cast<std::uint16_t>(call);
-  e.a = static_cast<float>(now - made.sent);
+  e.a = static_cast<float>(now - made.sent_at);
   timeline_.record(e);
-  if (departs_ && e.line != kNoLine) departures_.ended(made.node, q.vertical, made.outcome, made.sent, now);
+  if (departs_ && e.line != kNoLine) departures_.ended(made.node, q.vertical, made.outcome, made.sent_at, now);
 }
 
 void Recorder::listed(int number, const std::string& name, const std::string& address, bool up, double born,
