--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -87,7 +87,7 @@
 
 struct Call {
   int node = kNone;
-  int group = kNone;  // calls of one group travel together
+  int batch = kNone;  // calls of one group travel together
   double sent_at = 0;
   Outcome outcome = Outcome::pending;
 
@@ -189,7 +189,7 @@
 struct Send {
   int leaf = 0;
   int node = kNone;
-  int group = kNone;
+  int batch = kNone;
   double timeout = 0;
   Explanation why;
   double by = std::numeric_limits<double>::infinity();  // its first byte leaves within so long, or never
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -304,7 +304,7 @@
   if (const auto sent = node.waiting.find(call.sent_at); sent != node.waiting.end()) node.waiting.erase(sent);
   if (const auto sent = v.waiting.find({call.sent_at, usual_step, call.node}); sent != v.waiting.end())
     v.waiting.erase(sent);
-  if (const auto group = node.groups.find(call.group); group != node.groups.end() && --group->second <= 0)
+  if (const auto group = node.groups.find(call.batch); group != node.groups.end() && --group->second <= 0)
     node.groups.erase(group);
   if (call.outcome == Outcome::unsent) return;
   // A connection takes along all that is out on it when it breaks or brings a spoilt answer: that counts
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -86,7 +86,7 @@
   for (const auto& cancel : answer.cancels) actions_.cancel(number, cancel);
   for (const auto& send : answer.sends) {
     auto& calls = held.query.leaves[static_cast<std::size_t>(send.leaf)].calls;
-    calls.push_back({send.node, send.group, now, Outcome::pending});
+    calls.push_back({send.node, send.batch, now, Outcome::pending});
     ++held.pending;
     sites_.sent(send.node, now);
     actions_.send(number, send, static_cast<int>(calls.size()) - 1);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -633,7 +633,7 @@
   std::string options;
   if (!held.key.empty()) options += ",k=" + held.key;
   if (send.leaf >= held.second_from) options += held.first_step;
-  pool_.send(send.node, send.group,
+  pool_.send(send.node, send.batch,
              {{query, send.leaf, call}, part.id, part.shard, std::move(options), held.text}, send.timeout,
              send.by);
 }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -706,8 +706,8 @@
   int together = 0;
   for (const auto& a : answer.sends)
     for (const auto& b : answer.sends) {
-      CHECK((a.group == b.group) <= (a.node == b.node));
-      together += &a != &b && a.group == b.group;
+      CHECK((a.batch == b.batch) <= (a.node == b.node));
+      together += &a != &b && a.batch == b.batch;
     }
   CHECK(together > 0);
 }
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -55,7 +55,7 @@
   Decision route(Query& q) {
     auto answer = brain.route(q, now);
     for (const auto& send : answer.sends)
-      leaf(q, send.leaf).calls.push_back({send.node, send.group, now, Outcome::pending});
+      leaf(q, send.leaf).calls.push_back({send.node, send.batch, now, Outcome::pending});
     if (answer.end != QueryEnd::none) q.ended = true;
     return answer;
   }
