--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -102,7 +102,7 @@
   double weight = 0;
   double work = 0;  // hint; 0: unknown
   int step = 1;
-  bool in = false;  // its answer has arrived
+  bool answered = false;  // its answer has arrived
   std::vector<Call> calls;
 
   bool any_pending() const { return std::any_of(calls.begin(), calls.end(), std::mem_fn(&Call::pending)); }
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -37,7 +37,7 @@
     auto answer = ending(q, now);
     if (answer.end != QueryEnd::none) return answer;
     for (std::size_t i = 0; i < q.leaves.size(); ++i)
-      if (!q.leaves[i].in) place(q, static_cast<int>(i), answer, now);
+      if (!q.leaves[i].answered) place(q, static_cast<int>(i), answer, now);
     return answer;
   }
 
@@ -49,9 +49,9 @@
       out = std::max(out - 1, 0);
     }
     Decision answer;
-    if (call.outcome != Outcome::success || leaf.in) return answer;
+    if (call.outcome != Outcome::success || leaf.answered) return answer;
     latencies_.add(now, {now - call.sent_at, false});
-    leaf.in = true;
+    leaf.answered = true;
     for (std::size_t i = 0; i < leaf.calls.size(); ++i)
       if (leaf.calls[i].pending())
         answer.cancels.push_back({leaf_index, static_cast<int>(i), explain(Reason::race_lost)});
@@ -61,7 +61,7 @@
   double wait(const Query& q, double now) const override {
     auto due = last(q);
     for (const auto& leaf : q.leaves)
-      if (!leaf.in)
+      if (!leaf.answered)
         due = std::min(due, leaf.any_pending() && !breaks(Design::Broken::budget)
                                 ? std::max(copy_at(leaf), now + kAgain)
                                 : now + kAgain);
@@ -118,8 +118,8 @@
     Decision answer;
     double in = 0, possible = 0;
     for (const auto& leaf : q.leaves) {
-      if (leaf.in) in += leaf.weight;
-      if (leaf.in || leaf.any_pending() || may_send(q, leaf, now)) possible += leaf.weight;
+      if (leaf.answered) in += leaf.weight;
+      if (leaf.answered || leaf.any_pending() || may_send(q, leaf, now)) possible += leaf.weight;
     }
     const auto& v = of(q);
     const auto over = now >= last(q);
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -90,7 +90,7 @@
 
 // The one guard that every send passes: why a part may not be sent to a node.
 Explanation AdaptiveRoutingPolicy::State::barred(const Query& q, const Leaf& leaf, Node& node, double now) {
-  if (q.ended || leaf.in || now >= verticals.last_end(q)) return explain(Reason::deadline_passed);  // rule 1
+  if (q.ended || leaf.answered || now >= verticals.last_end(q)) return explain(Reason::deadline_passed);  // rule 1
   if (leaf.attempts() >= is.max_calls) return explain(Reason::max_calls_reached, is.max_calls);
   if (now >= resend_until(q, leaf)) return explain(Reason::may_have_run);  // rule 2
   if (!node.up) return explain(Reason::unavailable);                              // rule 3
@@ -262,10 +262,10 @@
   bool second_in = true;
   for (const auto& leaf : q.leaves) {
     const auto step = leaf.step - 1;
-    if (leaf.in) in[step] += leaf.weight;
-    second_in = second_in && (leaf.in || leaf.step == 1);
+    if (leaf.answered) in[step] += leaf.weight;
+    second_in = second_in && (leaf.answered || leaf.step == 1);
     const auto more = leaf.calls.empty() || (leaf.attempts() < is.max_calls && now < resend_until(q, leaf));
-    if (leaf.in || leaf.any_pending() || more) possible[step] += leaf.weight;
+    if (leaf.answered || leaf.any_pending() || more) possible[step] += leaf.weight;
   }
   if (q.awaited > 0) possible[q.step - 1] = 1;
   Decision answer;
@@ -368,7 +368,7 @@
       if (leaf.work > 0) s.relative_work.hinted(q.vertical, leaf.work);
   q.admitted = true;
   for (std::size_t i = 0; i < q.leaves.size(); ++i)
-    if (!q.leaves[i].in) s.place(q, static_cast<int>(i), answer, now);
+    if (!q.leaves[i].answered) s.place(q, static_cast<int>(i), answer, now);
   return answer;
 }
 Decision AdaptiveRoutingPolicy::settle(Query& q, int leaf_index, int call_index, double now) {
@@ -379,8 +379,8 @@
   const auto& call = leaf.calls[static_cast<std::size_t>(call_index)];
   s.learn(q, leaf, call, now);
   Decision answer;
-  if (call.outcome != Outcome::success || leaf.in) return answer;
-  leaf.in = true;
+  if (call.outcome != Outcome::success || leaf.answered) return answer;
+  leaf.answered = true;
   if (s.is.may_cancel) cancel_pending(answer, leaf, leaf_index, Reason::race_lost, now);
   return answer;
 }
@@ -389,7 +389,7 @@
   auto due = s.verticals.last_end(q);
   if (now < s.verticals.slo_end(q)) due = std::min(due, s.verticals.slo_end(q));
   for (const auto& leaf : q.leaves) {
-    if (leaf.in) continue;
+    if (leaf.answered) continue;
     const auto copy = leaf.calls.size() == 1 && s.may_copy(q) ? s.verticals.copy_at(q, leaf) : now;
     due = std::min(due, copy > now ? copy : now + std::clamp(s.of(q).delay, kSoonest, kPeriod));
   }
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -61,7 +61,7 @@
   call.outcome = outcome;
   // The score is that of the answer that counts: the outcome of a copy that lost would put a part of the
   // second step at a shard without the highest score, where it fails at once.
-  if (outcome == Outcome::success && !held.query.leaves[index].in) held.scores[index] = score;
+  if (outcome == Outcome::success && !held.query.leaves[index].answered) held.scores[index] = score;
   --held.pending;
   actions_.ended(held.query.vertical, call);
   sites_.ended(call.node, call.sent_at, outcome, now);
@@ -105,7 +105,7 @@
     const auto first_of_two = second > 0 && q.step == 1;
     if (first_of_two) {
       const auto in =
-          std::count_if(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) { return leaf.in; });
+          std::count_if(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) { return leaf.answered; });
       q.step = 2;
       q.first_whole = answer.end == QueryEnd::merge_complete;
       q.awaited = std::min(second, static_cast<int>(in));
@@ -126,7 +126,7 @@
   const auto& held = *held_.at(number);
   std::vector<int> in;
   for (std::size_t i = 0; i < held.query.leaves.size(); ++i)
-    if (held.query.leaves[i].in) in.push_back(static_cast<int>(i));
+    if (held.query.leaves[i].answered) in.push_back(static_cast<int>(i));
   std::stable_sort(in.begin(), in.end(), [&](int a, int b) {
     return held.scores[static_cast<std::size_t>(a)] > held.scores[static_cast<std::size_t>(b)];
   });
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -664,7 +664,7 @@
     auto q = rig.query(0, 1);
     q.step = 2;
     q.first_whole = first_whole;
-    q.leaves[0].in = true;
+    q.leaves[0].answered = true;
     q.awaited = 1;
     CHECK(rig.route(q).end == QueryEnd::none);
     q.leaves.push_back({0, 1, 0, 2, false, {}});
