--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -100,7 +100,7 @@
 struct Leaf {
   int shard = 0;
   double weight = 0;
-  double work = 0;  // hint; 0: unknown
+  double work_hint = 0;  // hint; 0: unknown
   int step = 1;
   bool answered = false;  // its answer has arrived
   std::vector<Call> calls;
@@ -158,7 +158,7 @@
   int customer = kNone;
   double taken = 0;
   double expires = 0;
-  double work = 0;  // hint; 0: unknown
+  double work_hint = 0;  // hint; 0: unknown
   bool client_retry = false;
   Reason barred = Reason::none;  // why it is not taken, whatever it is worth
   bool admitted = false;
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -123,7 +123,7 @@
     Query q;
     q.vertical = request.vertical;
     q.expires = now() + request.left;
-    q.work = request.work * static_cast<double>(request.shards.size());
+    q.work_hint = request.work * static_cast<double>(request.shards.size());
     if (parts_ > days::kMostOpen) q.barred = Reason::too_many_pending;
     queries_->take(query, std::move(q), now());
     for (const auto shard : request.shards)
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -52,7 +52,7 @@
                       double now) {
   auto& v = verticals.of(q);
   const auto& part_work = verticals.part_work;
-  double work = q.work;
+  double work = q.work_hint;
   if (work <= 0) work = (part_work > 0 ? part_work : 1.0) * static_cast<double>(q.leaves.size());
   v.query_work.add(work);
   verticals.query_parts.add(static_cast<double>(q.leaves.size()));
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -231,7 +231,7 @@
   nodes.tell(node_index, 0);
   if (leaf.attempts() == 0) {
     firsts.add(now);
-    if (leaf.work > 0) verticals.part_work.add(leaf.work);
+    if (leaf.work_hint > 0) verticals.part_work.add(leaf.work_hint);
   }
   if (because.reason == Reason::copy) copies.add(now);
   if (leaf.attempts() > 0) extras.add(now);
@@ -365,7 +365,7 @@
   }
   if (!q.admitted)
     for (const auto& leaf : q.leaves)
-      if (leaf.work > 0) s.relative_work.hinted(q.vertical, leaf.work);
+      if (leaf.work_hint > 0) s.relative_work.hinted(q.vertical, leaf.work_hint);
   q.admitted = true;
   for (std::size_t i = 0; i < q.leaves.size(); ++i)
     if (!q.leaves[i].answered) s.place(q, static_cast<int>(i), answer, now);
--- a/src/policy/verticals.cpp
+++ b/src/policy/verticals.cpp
@@ -34,8 +34,8 @@
 
 // By how much longer a part should take than an average one, by its hint; a wrong one does little harm.
 double Verticals::excess(const Leaf& leaf) const {
-  if (leaf.work <= 0 || part_work <= 0) return 0;
-  return std::clamp(leaf.work - part_work, -part_work, 2 * part_work);
+  if (leaf.work_hint <= 0 || part_work <= 0) return 0;
+  return std::clamp(leaf.work_hint - part_work, -part_work, 2 * part_work);
 }
 
 // Parts out that were sent of late. Those stuck at nodes that answer nothing tell nothing of the others.
--- a/src/policy/verticals.hpp
+++ b/src/policy/verticals.hpp
@@ -43,7 +43,7 @@
   VerticalState& of(const Query& q) { return all[static_cast<std::size_t>(q.vertical)]; }
   const Vertical& told(const Query& q) const { return all[static_cast<std::size_t>(q.vertical)].is; }
   double slo_end(const Query& q) const {
-    return std::min(q.taken + told(q).slo_time + told(q).slo_stretch * q.work, q.expires) - margin;
+    return std::min(q.taken + told(q).slo_time + told(q).slo_stretch * q.work_hint, q.expires) - margin;
   }
   double last_end(const Query& q) const { return q.expires - margin; }
   int steps(const Query& q) const { return told(q).second_step_parts > 0 ? 2 : 1; }
@@ -51,7 +51,7 @@
   // The time of a step where the client waits to the SLO time. Strain is measured against it: what the
   // hurried part of the clients leaves would make the nodes look strained to all others.
   double usual_step(const Query& q) const {
-    return std::max(told(q).slo_time + told(q).slo_stretch * q.work - margin, margin) / steps(q);
+    return std::max(told(q).slo_time + told(q).slo_stretch * q.work_hint - margin, margin) / steps(q);
   }
   // A leaf call is given all the time in which its answer is worth something.
   double timeout(const Query& q, double now) const {
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -90,7 +90,7 @@
   q.vertical = vertical;
   q.customer = customer;
   q.expires = expires;
-  q.work = hint;
+  q.work_hint = hint;
   q.client_retry = (marks & 2) != 0;
   asks_[id] = ask;
   ids_[ask].query = id;
