--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -156,7 +156,7 @@
 struct Query {
   int vertical = 0;
   int customer = kNone;
-  double taken = 0;
+  double received_at = 0;
   double expires = 0;
   double work_hint = 0;  // hint; 0: unknown
   bool client_retry = false;
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -23,7 +23,7 @@
   auto& v = verticals.of(q);
   auto times = v.query_times.recent(now);
   // The SLO time runs from the client's first try, of which a later one tells nothing but that it was.
-  const auto used = q.client_retry ? kRetryAge * (q.expires - q.taken) : 0;
+  const auto used = q.client_retry ? kRetryAge * (q.expires - q.received_at) : 0;
   const auto in_time = chance_within(times, verticals.slo_end(q) - used - now);
   const auto late = std::max(0.0, chance_within(times, verticals.last_end(q) - now) - in_time);
   const auto many = static_cast<double>(times.size());
@@ -42,7 +42,7 @@
 void Admission::date(Query& q, VerticalState& v, double standstill, double now) {
   const auto left = q.expires - now;
   if (standstill > 0) {
-    q.taken = now - std::clamp(v.try_time - left, 0.0, standstill);
+    q.received_at = now - std::clamp(v.try_time - left, 0.0, standstill);
   } else if (!q.client_retry) {
     v.try_time = std::max(left, v.try_time + kAverageWeight * (left - v.try_time));
   }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -355,7 +355,7 @@
       (answer.end != QueryEnd::none && q.admitted)) {
     const auto bound = answer.end == QueryEnd::reject || answer.end == QueryEnd::abort;
     if (bound || q.step == 2 || s.verticals.steps(q) == 1)
-      s.of(q).query_times.add(now, {now - q.taken, bound});
+      s.of(q).query_times.add(now, {now - q.received_at, bound});
   }
   if (answer.end != QueryEnd::none || q.awaited > 0) return answer;
   if (!q.admitted) {
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -29,7 +29,7 @@
   decisions_->take(1, now);
   auto held = std::make_unique<Held>();
   held->query = std::move(start);
-  held->query.taken = now;
+  held->query.received_at = now;
   held->query.awaited = 1;  // until its parts come, in the same turn
   touch(number, *held);
   held_[number] = std::move(held);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -788,7 +788,7 @@
     for (auto& q : queries) rig.settle(q, 0, Outcome::success);
     auto old = rig.query(0, 1, 3.2);  // its client had left it 4 s
     rig.route(old);
-    CHECK((rig.now - old.taken > 0.7) == stood);
+    CHECK((rig.now - old.received_at > 0.7) == stood);
     rig.pass(0.1);
     auto q = rig.query(0, 1);
     rig.route(q);
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -45,7 +45,7 @@
   Query query(int vertical, int parts, double time = 4) {
     Query q;
     q.vertical = vertical;
-    q.taken = now;
+    q.received_at = now;
     q.expires = now + time;
     for (int i = 0; i < parts; ++i) q.leaves.push_back({i, 1.0 / parts, 0, 1, false, {}});
     brain.take(parts + 1, now);
