--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -157,7 +157,7 @@
   int vertical = 0;
   int customer = kNone;
   double received_at = 0;
-  double expires = 0;
+  double deadline = 0;
   double work_hint = 0;  // hint; 0: unknown
   bool client_retry = false;
   Reason barred = Reason::none;  // why it is not taken, whatever it is worth
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -105,7 +105,7 @@
 
   // When its answer has to leave.
   double last(const Query& q) const {
-    return q.expires + (breaks(Design::Broken::late) ? kTooLate : -kMargin);
+    return q.deadline + (breaks(Design::Broken::late) ? kTooLate : -kMargin);
   }
 
   double copy_at(const Leaf& leaf) const {
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -122,7 +122,7 @@
     parts_ += request.shards.size() + 1;
     Query q;
     q.vertical = request.vertical;
-    q.expires = now() + request.left;
+    q.deadline = now() + request.left;
     q.work_hint = request.work * static_cast<double>(request.shards.size());
     if (parts_ > days::kMostOpen) q.barred = Reason::too_many_pending;
     queries_->take(query, std::move(q), now());
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -23,7 +23,7 @@
   auto& v = verticals.of(q);
   auto times = v.query_times.recent(now);
   // The SLO time runs from the client's first try, of which a later one tells nothing but that it was.
-  const auto used = q.client_retry ? kRetryAge * (q.expires - q.received_at) : 0;
+  const auto used = q.client_retry ? kRetryAge * (q.deadline - q.received_at) : 0;
   const auto in_time = chance_within(times, verticals.slo_end(q) - used - now);
   const auto late = std::max(0.0, chance_within(times, verticals.last_end(q) - now) - in_time);
   const auto many = static_cast<double>(times.size());
@@ -40,7 +40,7 @@
 
 // A query that waited while the router stood still was asked earlier, by what its client leaves it less.
 void Admission::date(Query& q, VerticalState& v, double standstill, double now) {
-  const auto left = q.expires - now;
+  const auto left = q.deadline - now;
   if (standstill > 0) {
     q.received_at = now - std::clamp(v.try_time - left, 0.0, standstill);
   } else if (!q.client_retry) {
--- a/src/policy/verticals.hpp
+++ b/src/policy/verticals.hpp
@@ -43,9 +43,9 @@
   VerticalState& of(const Query& q) { return all[static_cast<std::size_t>(q.vertical)]; }
   const Vertical& told(const Query& q) const { return all[static_cast<std::size_t>(q.vertical)].is; }
   double slo_end(const Query& q) const {
-    return std::min(q.received_at + told(q).slo_time + told(q).slo_stretch * q.work_hint, q.expires) - margin;
+    return std::min(q.received_at + told(q).slo_time + told(q).slo_stretch * q.work_hint, q.deadline) - margin;
   }
-  double last_end(const Query& q) const { return q.expires - margin; }
+  double last_end(const Query& q) const { return q.deadline - margin; }
   int steps(const Query& q) const { return told(q).second_step_parts > 0 ? 2 : 1; }
   double step_time(const Query& q) const { return std::max(slo_end(q) - q.received_at, margin) / steps(q); }
   // The time of a step where the client waits to the SLO time. Strain is measured against it: what the
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -561,9 +561,9 @@
   ++figures_.taken;
   Query q;
   q.vertical = ask.vertical;
-  q.expires = at + ask.remaining;
+  q.deadline = at + ask.remaining;
   // What comes so late must not be found without its answer by SIGKILL.
-  if (phase_ == Phase::draining) q.expires = std::min(q.expires, shutdown_.answers_by());
+  if (phase_ == Phase::draining) q.deadline = std::min(q.deadline, shutdown_.answers_by());
   q.client_retry = ask.client_retry;
   const auto no_room = open_ >= config_.bounds.max_open;
   if (no_room || standing_.bars(at)) q.barred = no_room ? Reason::too_many_pending : Reason::router_refusing;
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -89,7 +89,7 @@
   Query q;
   q.vertical = vertical;
   q.customer = customer;
-  q.expires = expires;
+  q.deadline = expires;
   q.work_hint = hint;
   q.client_retry = (marks & 2) != 0;
   asks_[id] = ask;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -416,7 +416,7 @@
       rig.settle(q, 0, row.outcome);
       rig.route(q);
     }
-    if (!q.ended) rig.now = q.expires;
+    if (!q.ended) rig.now = q.deadline;
     const auto end = q.ended ? answer.end : rig.route(q).end;
     if (end != QueryEnd::none) CHECK(end == row.end);
   }
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -23,7 +23,7 @@
   void take(int vertical, int parts, long long number = 1) {
     Query q;
     q.vertical = vertical;
-    q.expires = now + 4;
+    q.deadline = now + 4;
     queries.take(number, q, now);
     for (int i = 0; i < parts; ++i) queries.take_part(number, {i, 1.0 / parts, 0, 1, false, {}}, now);
     queries.finish(now);
@@ -129,7 +129,7 @@
     Desk desk;
     Query q;
     q.vertical = vertical;
-    q.expires = desk.now + 4;
+    q.deadline = desk.now + 4;
     q.barred = Reason::too_many_pending;
     desk.queries.take(1, q, desk.now);
     desk.queries.take_part(1, {0, 1, 0, 1, false, {}}, desk.now);
@@ -206,7 +206,7 @@
       const int parts = 1 + turn % 4;
       Query q;
       q.vertical = vertical;
-      q.expires = static_cast<double>(clock + 1500000) / 1e6;
+      q.deadline = static_cast<double>(clock + 1500000) / 1e6;
       queries.take(turn, q, at);
       text += fmt::format("demand router-0 {} {} - - {} - {} -1 {} 0\n", turn * 10 + 9, verticals[vertical],
                           clock + 1500000, turn, parts);
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -46,7 +46,7 @@
     Query q;
     q.vertical = vertical;
     q.received_at = now;
-    q.expires = now + time;
+    q.deadline = now + time;
     for (int i = 0; i < parts; ++i) q.leaves.push_back({i, 1.0 / parts, 0, 1, false, {}});
     brain.take(parts + 1, now);
     return q;
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -197,7 +197,7 @@
       now += 0.002 * static_cast<double>(chance() % 40);
       Query q;
       q.vertical = static_cast<int>(chance() % 3);
-      q.expires = now + 2;
+      q.deadline = now + 2;
       queries.take(number, q, now);
       for (int i = 0; i < 3; ++i) queries.take_part(number, {i, 1.0 / 3, 0, 1, false, {}}, now);
       while (!actions.calls.empty() && chance() % 4 != 0) {
