--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -160,7 +160,7 @@
   double deadline = 0;
   double work_hint = 0;  // hint; 0: unknown
   bool client_retry = false;
-  Reason barred = Reason::none;  // why it is not taken, whatever it is worth
+  Reason forced_rejection = Reason::none;  // why it is not taken, whatever it is worth
   bool admitted = false;
   int step = 1;
   int awaited = 0;           // parts of this step that have not been named yet
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -124,7 +124,7 @@
     q.vertical = request.vertical;
     q.deadline = now() + request.left;
     q.work_hint = request.work * static_cast<double>(request.shards.size());
-    if (parts_ > days::kMostOpen) q.barred = Reason::too_many_pending;
+    if (parts_ > days::kMostOpen) q.forced_rejection = Reason::too_many_pending;
     queries_->take(query, std::move(q), now());
     for (const auto shard : request.shards)
       queries_->take_part(
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -360,7 +360,7 @@
   if (answer.end != QueryEnd::none || q.awaited > 0) return answer;
   if (!q.admitted) {
     const auto refused =
-        q.barred != Reason::none ? explain(q.barred) : s.admission.refuse(q, s.verticals, s.nodes, s.chance, now);
+        q.forced_rejection != Reason::none ? explain(q.forced_rejection) : s.admission.refuse(q, s.verticals, s.nodes, s.chance, now);
     if (refused.reason != Reason::none) return s.give_up(q, refused);
   }
   if (!q.admitted)
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -566,7 +566,7 @@
   if (phase_ == Phase::draining) q.deadline = std::min(q.deadline, shutdown_.answers_by());
   q.client_retry = ask.client_retry;
   const auto no_room = open_ >= config_.bounds.max_open;
-  if (no_room || standing_.bars(at)) q.barred = no_room ? Reason::too_many_pending : Reason::router_refusing;
+  if (no_room || standing_.bars(at)) q.forced_rejection = no_room ? Reason::too_many_pending : Reason::router_refusing;
   for (const auto& target : ask.targets) q.work_hint += target.work;
   auto& held = held_[number];
   held.client = connection;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -939,7 +939,7 @@
   CHECK(rig.route(failed).why.reason == Reason::share_unreachable);
 
   auto full = rig.query(0, 1);
-  full.barred = Reason::too_many_pending;
+  full.forced_rejection = Reason::too_many_pending;
   CHECK(rig.route(full).why.reason == Reason::too_many_pending);
 
   rig.hosts[0].up = false;
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -130,7 +130,7 @@
     Query q;
     q.vertical = vertical;
     q.deadline = desk.now + 4;
-    q.barred = Reason::too_many_pending;
+    q.forced_rejection = Reason::too_many_pending;
     desk.queries.take(1, q, desk.now);
     desk.queries.take_part(1, {0, 1, 0, 1, false, {}}, desk.now);
     desk.queries.finish(desk.now);
