--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -163,7 +163,7 @@
   Reason forced_rejection = Reason::none;  // why it is not taken, whatever it is worth
   bool admitted = false;
   int step = 1;
-  int awaited = 0;           // parts of this step that have not been named yet
+  int parts_expected = 0;           // parts of this step that have not been named yet
   bool first_whole = false;  // the first step was merged whole
   bool ended = false;
   std::vector<Leaf> leaves;
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -267,12 +267,12 @@
     const auto more = leaf.calls.empty() || (leaf.attempts() < is.max_calls && now < resend_until(q, leaf));
     if (leaf.answered || leaf.any_pending() || more) possible[step] += leaf.weight;
   }
-  if (q.awaited > 0) possible[q.step - 1] = 1;
+  if (q.parts_expected > 0) possible[q.step - 1] = 1;
   Decision answer;
   const auto now_in = in[q.step - 1], now_possible = possible[q.step - 1];
-  const auto whole = q.step == 1 ? now_in >= v.complete_share - kRounding : second_in && q.awaited == 0;
+  const auto whole = q.step == 1 ? now_in >= v.complete_share - kRounding : second_in && q.parts_expected == 0;
   const auto enough =
-      q.awaited == 0 && now_in >= v.min_merge_share - kRounding && (q.step == 1 || v.min_merge_share < v.complete_share || second_in);
+      q.parts_expected == 0 && now_in >= v.min_merge_share - kRounding && (q.step == 1 || v.min_merge_share < v.complete_share || second_in);
   if (whole) {
     answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial;
     answer.why = explain(Reason::complete, now_in);
@@ -357,7 +357,7 @@
     if (bound || q.step == 2 || s.verticals.steps(q) == 1)
       s.of(q).query_times.add(now, {now - q.received_at, bound});
   }
-  if (answer.end != QueryEnd::none || q.awaited > 0) return answer;
+  if (answer.end != QueryEnd::none || q.parts_expected > 0) return answer;
   if (!q.admitted) {
     const auto refused =
         q.forced_rejection != Reason::none ? explain(q.forced_rejection) : s.admission.refuse(q, s.verticals, s.nodes, s.chance, now);
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -30,7 +30,7 @@
   auto held = std::make_unique<Held>();
   held->query = std::move(start);
   held->query.received_at = now;
-  held->query.awaited = 1;  // until its parts come, in the same turn
+  held->query.parts_expected = 1;  // until its parts come, in the same turn
   touch(number, *held);
   held_[number] = std::move(held);
 }
@@ -43,7 +43,7 @@
   leaf.step = held.query.step;
   held.query.leaves.push_back(std::move(leaf));
   held.scores.push_back(0);
-  held.query.awaited = 0;  // all parts of a step come in one turn, which is answered as a whole
+  held.query.parts_expected = 0;  // all parts of a step come in one turn, which is answered as a whole
   touch(number, held);
   return static_cast<int>(held.query.leaves.size()) - 1;
 }
@@ -108,7 +108,7 @@
           std::count_if(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) { return leaf.answered; });
       q.step = 2;
       q.first_whole = answer.end == QueryEnd::merge_complete;
-      q.awaited = std::min(second, static_cast<int>(in));
+      q.parts_expected = std::min(second, static_cast<int>(in));
     }
     actions_.merge(number, answer.end == QueryEnd::merge_complete);
     if (first_of_two) return;
@@ -119,7 +119,7 @@
 bool Queries::awaits_parts(long long number) const {
   const auto at = held_.find(number);
   return at != held_.end() && !at->second->query.ended && at->second->query.step == 2 &&
-         at->second->query.awaited > 0;
+         at->second->query.parts_expected > 0;
 }
 
 std::vector<int> Queries::second_step(long long number) const {
@@ -130,7 +130,7 @@
   std::stable_sort(in.begin(), in.end(), [&](int a, int b) {
     return held.scores[static_cast<std::size_t>(a)] > held.scores[static_cast<std::size_t>(b)];
   });
-  in.resize(std::min(in.size(), static_cast<std::size_t>(held.query.awaited)));
+  in.resize(std::min(in.size(), static_cast<std::size_t>(held.query.parts_expected)));
   return in;
 }
 
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -665,10 +665,10 @@
     q.step = 2;
     q.first_whole = first_whole;
     q.leaves[0].answered = true;
-    q.awaited = 1;
+    q.parts_expected = 1;
     CHECK(rig.route(q).end == QueryEnd::none);
     q.leaves.push_back({0, 1, 0, 2, false, {}});
-    q.awaited = 0;
+    q.parts_expected = 0;
     CHECK(rig.route(q).sends.size() == 1);
     rig.settle(q, 1, Outcome::success);
     CHECK(rig.route(q).end == (first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial));
