--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -164,7 +164,7 @@
   bool admitted = false;
   int step = 1;
   int parts_expected = 0;           // parts of this step that have not been named yet
-  bool first_whole = false;  // the first step was merged whole
+  bool first_step_complete = false;  // the first step was merged whole
   bool ended = false;
   std::vector<Leaf> leaves;
 };
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -274,7 +274,7 @@
   const auto enough =
       q.parts_expected == 0 && now_in >= v.min_merge_share - kRounding && (q.step == 1 || v.min_merge_share < v.complete_share || second_in);
   if (whole) {
-    answer.end = q.step == 1 || q.first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial;
+    answer.end = q.step == 1 || q.first_step_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial;
     answer.why = explain(Reason::complete, now_in);
     return answer;
   }
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -107,7 +107,7 @@
       const auto in =
           std::count_if(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) { return leaf.answered; });
       q.step = 2;
-      q.first_whole = answer.end == QueryEnd::merge_complete;
+      q.first_step_complete = answer.end == QueryEnd::merge_complete;
       q.parts_expected = std::min(second, static_cast<int>(in));
     }
     actions_.merge(number, answer.end == QueryEnd::merge_complete);
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -663,7 +663,7 @@
     Rig rig(s);
     auto q = rig.query(0, 1);
     q.step = 2;
-    q.first_whole = first_whole;
+    q.first_step_complete = first_whole;
     q.leaves[0].answered = true;
     q.parts_expected = 1;
     CHECK(rig.route(q).end == QueryEnd::none);
