--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -182,7 +182,7 @@
 struct DecisionTraceEntry {
   int leaf = 0;
   int node = kNone;
-  int taken = kNone;  // the node that was better
+  int chosen_node = kNone;  // the node that was better
   Explanation why;
 };
 
--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -19,7 +19,7 @@
   // All from there on were passed over for this node, at this score.
   void set_chosen(std::size_t from, int chosen, double best) {
     for (auto i = from; i < entries.size(); ++i) {
-      entries[i].taken = chosen;
+      entries[i].chosen_node = chosen;
       if (entries[i].why.reason == Reason::worse_score) entries[i].why.b = static_cast<float>(best);
     }
   }
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -53,7 +53,7 @@
       continue;
     }
     auto e = of(What::passed, line_of(judge.node), judge.why, judge.leaf);
-    e.other = line_of(judge.taken);
+    e.other = line_of(judge.chosen_node);
     timeline_.record(e);
   }
   for (const auto& cancel : answer.cancels) {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -907,8 +907,8 @@
   CHECK(answer.sends[0].why.a <= answer.sends[0].why.b);
   CHECK(answer.sends[0].why.c == doctest::Approx(0.25));
   const auto dearer = judged(Reason::worse_score);
-  CHECK(dearer.taken == answer.sends[0].node);
-  CHECK(dearer.node != dearer.taken);
+  CHECK(dearer.chosen_node == answer.sends[0].node);
+  CHECK(dearer.node != dearer.chosen_node);
   CHECK(dearer.why.a >= dearer.why.b);
 
   rig.route(first);
