--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -183,7 +183,7 @@
   int leaf = 0;
   int node = kNone;
   int chosen_node = kNone;  // the node that was better
-  Explanation why;
+  Explanation explanation;
 };
 
 struct Send {
@@ -191,14 +191,14 @@
   int node = kNone;
   int batch = kNone;
   double timeout = 0;
-  Explanation why;
+  Explanation explanation;
   double by = std::numeric_limits<double>::infinity();  // its first byte leaves within so long, or never
 };
 
 struct Cancel {
   int leaf = 0;
   int call = 0;
-  Explanation why;
+  Explanation explanation;
 };
 
 enum class QueryEnd { none, merge_complete, merge_partial, reject, abort };
@@ -209,7 +209,7 @@
   std::vector<Send> sends;
   QueryEnd end = QueryEnd::none;
   double stay_away = 0;
-  Explanation why;  // of the end
+  Explanation explanation;  // of the end
 };
 
 // What routers tell each other: a part was sent to a node, or a call there has ended.
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -135,7 +135,7 @@
           });
       answer.end = harmless ? QueryEnd::reject : QueryEnd::abort;
       answer.stay_away = is_.max_retry_after;
-      answer.why = explain(over ? Reason::deadline_passed : Reason::share_unreachable);
+      answer.explanation = explain(over ? Reason::deadline_passed : Reason::share_unreachable);
     }
     return answer;
   }
--- a/src/emulator/town.cpp
+++ b/src/emulator/town.cpp
@@ -198,7 +198,7 @@
   flight.until = engine_.now() + send.timeout;
   auto& m = moment();
   ++played_.parts;
-  ++(send.why.reason == Reason::first_call ? m.sent : send.why.reason == Reason::copy ? m.copies : m.again);
+  ++(send.explanation.reason == Reason::first_call ? m.sent : send.explanation.reason == Reason::copy ? m.copies : m.again);
   network_->send(ref);
   return ref;
 }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -250,7 +250,7 @@
       });
   answer.end = harmless ? QueryEnd::reject : QueryEnd::abort;
   answer.stay_away = is.max_retry_after;
-  answer.why = because;
+  answer.explanation = because;
   return answer;
 }
 
@@ -275,7 +275,7 @@
       q.parts_expected == 0 && now_in >= v.min_merge_share - kRounding && (q.step == 1 || v.min_merge_share < v.complete_share || second_in);
   if (whole) {
     answer.end = q.step == 1 || q.first_step_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial;
-    answer.why = explain(Reason::complete, now_in);
+    answer.explanation = explain(Reason::complete, now_in);
     return answer;
   }
   const auto need = q.step == 1 ? v.complete_share : 1;
@@ -284,7 +284,7 @@
   const auto over = now >= verticals.last_end(q);
   if (enough && (settled || over || (late && v.partial_utility * now_in > v.late_utility))) {
     answer.end = QueryEnd::merge_partial;
-    answer.why = explain(Reason::partial, now_in);
+    answer.explanation = explain(Reason::partial, now_in);
     return answer;
   }
   const auto least = v.min_merge_share < v.complete_share ? v.min_merge_share : need;
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -97,9 +97,9 @@
 void Queries::finish_step(long long number, Held& held, const Decision& answer) {
   auto& q = held.query;
   if (answer.end == QueryEnd::reject) {
-    actions_.reject(number, answer.stay_away, answer.why);
+    actions_.reject(number, answer.stay_away, answer.explanation);
   } else if (answer.end == QueryEnd::abort) {
-    actions_.abort(number, answer.why);
+    actions_.abort(number, answer.explanation);
   } else {
     const auto second = second_steps_[static_cast<std::size_t>(q.vertical)];
     const auto first_of_two = second > 0 && q.step == 1;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -627,7 +627,7 @@
   auto& held = held_.at(query);
   ++held.calls;
   ++calls_out_;
-  standing_.versions().sent(held.vertical, act_of(send.why.reason), send.node, now());
+  standing_.versions().sent(held.vertical, act_of(send.explanation.reason), send.node, now());
   const auto leaf = static_cast<std::size_t>(send.leaf);
   const auto& part = held.parts[leaf];
   std::string options;
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -48,33 +48,33 @@
   };
   for (const auto& judge : judged) {
     if (judge.node == kNone) {
-      if (judge.why.reason == Reason::within_hedge_delay) continue;  // looked at each tenth of a second: no choice
-      timeline_.record(of(What::waits, kLoop, judge.why, judge.leaf));
+      if (judge.explanation.reason == Reason::within_hedge_delay) continue;  // looked at each tenth of a second: no choice
+      timeline_.record(of(What::waits, kLoop, judge.explanation, judge.leaf));
       continue;
     }
-    auto e = of(What::passed, line_of(judge.node), judge.why, judge.leaf);
+    auto e = of(What::passed, line_of(judge.node), judge.explanation, judge.leaf);
     e.other = line_of(judge.chosen_node);
     timeline_.record(e);
   }
   for (const auto& cancel : answer.cancels) {
     const auto& call =
         q.leaves[static_cast<std::size_t>(cancel.leaf)].calls[static_cast<std::size_t>(cancel.call)];
-    auto e = of(What::cancelled, line_of(call.node), cancel.why, cancel.leaf);
+    auto e = of(What::cancelled, line_of(call.node), cancel.explanation, cancel.leaf);
     e.call = static_cast<std::uint16_t>(cancel.call);
     timeline_.record(e);
   }
   for (const auto& send : answer.sends) {
-    auto e = of(What::sent, line_of(send.node), send.why, send.leaf);
+    auto e = of(What::sent, line_of(send.node), send.explanation, send.leaf);
     e.call = static_cast<std::uint16_t>(q.leaves[static_cast<std::size_t>(send.leaf)].calls.size());
     e.other = kNoLine;
     for (const auto& judge : judged)
-      if (judge.leaf == send.leaf && judge.why.reason == Reason::worse_score && judge.why.a <= send.why.b)
+      if (judge.leaf == send.leaf && judge.explanation.reason == Reason::worse_score && judge.explanation.a <= send.explanation.b)
         e.other = line_of(judge.node);
     timeline_.record(e);
     if (departs_ && line_of(send.node) != kNoLine) departures_.sent(send.node, q.vertical, now);
   }
   if (answer.end == QueryEnd::none) return;
-  auto e = of(What::ended, kLoop, answer.why, 0);
+  auto e = of(What::ended, kLoop, answer.explanation, 0);
   e.call = static_cast<std::uint16_t>(answer.end);
   timeline_.record(e);
 }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -897,19 +897,19 @@
   rig.brain.explain(true);
   const auto judged = [&](Reason reason) {
     for (const auto& j : rig.brain.judged())
-      if (j.why.reason == reason) return j;
+      if (j.explanation.reason == reason) return j;
     return DecisionTraceEntry{kNone, kNone, kNone, {}};
   };
   auto first = rig.query(0, 1);
   auto answer = rig.route(first);
   REQUIRE(answer.sends.size() == 1);
-  CHECK(answer.sends[0].why.reason == Reason::first_call);
-  CHECK(answer.sends[0].why.a <= answer.sends[0].why.b);
-  CHECK(answer.sends[0].why.c == doctest::Approx(0.25));
+  CHECK(answer.sends[0].explanation.reason == Reason::first_call);
+  CHECK(answer.sends[0].explanation.a <= answer.sends[0].explanation.b);
+  CHECK(answer.sends[0].explanation.c == doctest::Approx(0.25));
   const auto dearer = judged(Reason::worse_score);
   CHECK(dearer.chosen_node == answer.sends[0].node);
   CHECK(dearer.node != dearer.chosen_node);
-  CHECK(dearer.why.a >= dearer.why.b);
+  CHECK(dearer.explanation.a >= dearer.explanation.b);
 
   rig.route(first);
   CHECK(judged(Reason::within_hedge_delay).node == kNone);
@@ -917,7 +917,7 @@
 
   rig.pass(0.05);
   CHECK(rig.settle(first, 0, Outcome::success).cancels.empty());
-  CHECK(rig.route(first).why.reason == Reason::complete);
+  CHECK(rig.route(first).explanation.reason == Reason::complete);
 
   rig.serve(40, 0.02);
   auto late = rig.query(0, 1);
@@ -925,22 +925,22 @@
   rig.pass(0.2);
   answer = rig.route(late);
   REQUIRE(answer.sends.size() == 1);
-  CHECK(answer.sends[0].why.reason == Reason::copy);
+  CHECK(answer.sends[0].explanation.reason == Reason::copy);
   CHECK(judged(Reason::already_tried).node == slow);
   answer = rig.settle(late, 0, Outcome::success);
   REQUIRE(answer.cancels.size() == 1);
-  CHECK(answer.cancels[0].why.reason == Reason::race_lost);
-  CHECK(answer.cancels[0].why.a == doctest::Approx(0.2));
+  CHECK(answer.cancels[0].explanation.reason == Reason::race_lost);
+  CHECK(answer.cancels[0].explanation.a == doctest::Approx(0.2));
   rig.settle(late, 0, Outcome::cancelled, 0);
 
   auto failed = rig.query(2, 1);
   rig.route(failed);
   rig.settle(failed, 0, Outcome::failure);
-  CHECK(rig.route(failed).why.reason == Reason::share_unreachable);
+  CHECK(rig.route(failed).explanation.reason == Reason::share_unreachable);
 
   auto full = rig.query(0, 1);
   full.forced_rejection = Reason::too_many_pending;
-  CHECK(rig.route(full).why.reason == Reason::too_many_pending);
+  CHECK(rig.route(full).explanation.reason == Reason::too_many_pending);
 
   rig.hosts[0].up = false;
   rig.hosts[1].started_at = rig.now;
@@ -954,13 +954,13 @@
   }
   CHECK(judged(Reason::unavailable).node == 0);
   CHECK(judged(Reason::slow_start).node == 1);
-  CHECK(judged(Reason::slow_start).why.a + 1 > judged(Reason::slow_start).why.b);
+  CHECK(judged(Reason::slow_start).explanation.a + 1 > judged(Reason::slow_start).explanation.b);
 
   rig.pass(3);
   CHECK(
       (rig.brain.belief(2, rig.now) == NodeHealth::suspect || rig.brain.belief(2, rig.now) == NodeHealth::probing));
   auto hopeless = rig.query(0, 1);
-  CHECK(rig.route(hopeless).why.reason == Reason::too_few_reachable);
+  CHECK(rig.route(hopeless).explanation.reason == Reason::too_few_reachable);
 }
 
 TEST_CASE("choices past the bound are counted, not kept") {
@@ -1039,7 +1039,7 @@
   auto q = town.query(0, 1);
   const auto answer = town.route(q);
   CHECK(answer.end == QueryEnd::reject);
-  CHECK(answer.why.reason == Reason::too_few_reachable);
+  CHECK(answer.explanation.reason == Reason::too_few_reachable);
   CHECK(answer.stay_away > 0);
   // A process that began since the loss is not judged by it.
   for (auto& host : town.hosts) host.started_at = town.now + 1;
