--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -207,7 +207,7 @@
 struct Decision {
   std::vector<Cancel> cancels;
   std::vector<Send> sends;
-  QueryEnd end = QueryEnd::none;
+  QueryEnd query_end = QueryEnd::none;
   double stay_away = 0;
   Explanation explanation;  // of the end
 };
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -35,7 +35,7 @@
   Decision route(Query& q, double now) override {
     q.admitted = true;
     auto answer = ending(q, now);
-    if (answer.end != QueryEnd::none) return answer;
+    if (answer.query_end != QueryEnd::none) return answer;
     for (std::size_t i = 0; i < q.leaves.size(); ++i)
       if (!q.leaves[i].answered) place(q, static_cast<int>(i), answer, now);
     return answer;
@@ -124,16 +124,16 @@
     const auto& v = of(q);
     const auto over = now >= last(q);
     if (in >= v.complete_share - kRounding || (over && breaks(Design::Broken::whole)))
-      answer.end = QueryEnd::merge_complete;
+      answer.query_end = QueryEnd::merge_complete;
     else if ((over || possible <= in + kRounding) && in >= v.min_merge_share - kRounding)
-      answer.end = QueryEnd::merge_partial;
+      answer.query_end = QueryEnd::merge_partial;
     else if (over || possible < v.min_merge_share - kRounding) {
       const auto harmless =
           v.effect == Effect::repeatable ||
           std::all_of(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) {
             return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
           });
-      answer.end = harmless ? QueryEnd::reject : QueryEnd::abort;
+      answer.query_end = harmless ? QueryEnd::reject : QueryEnd::abort;
       answer.stay_away = is_.max_retry_after;
       answer.explanation = explain(over ? Reason::deadline_passed : Reason::share_unreachable);
     }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -248,7 +248,7 @@
       std::all_of(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) {
         return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
       });
-  answer.end = harmless ? QueryEnd::reject : QueryEnd::abort;
+  answer.query_end = harmless ? QueryEnd::reject : QueryEnd::abort;
   answer.stay_away = is.max_retry_after;
   answer.explanation = because;
   return answer;
@@ -274,7 +274,7 @@
   const auto enough =
       q.parts_expected == 0 && now_in >= v.min_merge_share - kRounding && (q.step == 1 || v.min_merge_share < v.complete_share || second_in);
   if (whole) {
-    answer.end = q.step == 1 || q.first_step_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial;
+    answer.query_end = q.step == 1 || q.first_step_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial;
     answer.explanation = explain(Reason::complete, now_in);
     return answer;
   }
@@ -283,7 +283,7 @@
   const auto late = now >= verticals.slo_end(q);
   const auto over = now >= verticals.last_end(q);
   if (enough && (settled || over || (late && v.partial_utility * now_in > v.late_utility))) {
-    answer.end = QueryEnd::merge_partial;
+    answer.query_end = QueryEnd::merge_partial;
     answer.explanation = explain(Reason::partial, now_in);
     return answer;
   }
@@ -351,13 +351,13 @@
   s.judged.entries.clear();
   if (!q.admitted) s.admission.date(q, s.of(q), s.standstill, now);
   auto answer = s.ending(q, now);
-  if (answer.end == QueryEnd::merge_complete || answer.end == QueryEnd::merge_partial ||
-      (answer.end != QueryEnd::none && q.admitted)) {
-    const auto bound = answer.end == QueryEnd::reject || answer.end == QueryEnd::abort;
+  if (answer.query_end == QueryEnd::merge_complete || answer.query_end == QueryEnd::merge_partial ||
+      (answer.query_end != QueryEnd::none && q.admitted)) {
+    const auto bound = answer.query_end == QueryEnd::reject || answer.query_end == QueryEnd::abort;
     if (bound || q.step == 2 || s.verticals.steps(q) == 1)
       s.of(q).query_times.add(now, {now - q.received_at, bound});
   }
-  if (answer.end != QueryEnd::none || q.parts_expected > 0) return answer;
+  if (answer.query_end != QueryEnd::none || q.parts_expected > 0) return answer;
   if (!q.admitted) {
     const auto refused =
         q.forced_rejection != Reason::none ? explain(q.forced_rejection) : s.admission.refuse(q, s.verticals, s.nodes, s.chance, now);
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -91,14 +91,14 @@
     sites_.sent(send.node, now);
     actions_.send(number, send, static_cast<int>(calls.size()) - 1);
   }
-  if (answer.end != QueryEnd::none) finish_step(number, held, answer);
+  if (answer.query_end != QueryEnd::none) finish_step(number, held, answer);
 }
 
 void Queries::finish_step(long long number, Held& held, const Decision& answer) {
   auto& q = held.query;
-  if (answer.end == QueryEnd::reject) {
+  if (answer.query_end == QueryEnd::reject) {
     actions_.reject(number, answer.stay_away, answer.explanation);
-  } else if (answer.end == QueryEnd::abort) {
+  } else if (answer.query_end == QueryEnd::abort) {
     actions_.abort(number, answer.explanation);
   } else {
     const auto second = second_steps_[static_cast<std::size_t>(q.vertical)];
@@ -107,10 +107,10 @@
       const auto in =
           std::count_if(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) { return leaf.answered; });
       q.step = 2;
-      q.first_step_complete = answer.end == QueryEnd::merge_complete;
+      q.first_step_complete = answer.query_end == QueryEnd::merge_complete;
       q.parts_expected = std::min(second, static_cast<int>(in));
     }
-    actions_.merge(number, answer.end == QueryEnd::merge_complete);
+    actions_.merge(number, answer.query_end == QueryEnd::merge_complete);
     if (first_of_two) return;
   }
   end(number, held);
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -73,9 +73,9 @@
     timeline_.record(e);
     if (departs_ && line_of(send.node) != kNoLine) departures_.sent(send.node, q.vertical, now);
   }
-  if (answer.end == QueryEnd::none) return;
+  if (answer.query_end == QueryEnd::none) return;
   auto e = of(What::ended, kLoop, answer.explanation, 0);
-  e.call = static_cast<std::uint16_t>(answer.end);
+  e.call = static_cast<std::uint16_t>(answer.query_end);
   timeline_.record(e);
 }
 
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -36,7 +36,7 @@
     const auto won = rig.settle(q, 0, Outcome::success, 1);
     REQUIRE(won.cancels.size() == 1);
     CHECK(won.cancels[0].call == 0);
-    CHECK(rig.route(q).end == QueryEnd::merge_complete);
+    CHECK(rig.route(q).query_end == QueryEnd::merge_complete);
   }
 }
 
@@ -267,7 +267,7 @@
   int refused = 0;
   for (int i = 0; i < 20; ++i) {
     auto q = rig.query(1, 1);
-    refused += rig.route(q).end == QueryEnd::reject;
+    refused += rig.route(q).query_end == QueryEnd::reject;
   }
   CHECK(refused == 0);
 }
@@ -304,7 +304,7 @@
     CHECK(rig.route(q).sends.size() == 300);
     rig.pass(0.1);
     for (int i = 0; i < 300; ++i) rig.settle(q, i, Outcome::success);
-    CHECK(rig.route(q).end == QueryEnd::merge_complete);
+    CHECK(rig.route(q).query_end == QueryEnd::merge_complete);
     for (auto& host : rig.hosts) host.up = (host.node + round) % 3 != 0;
     rig.brain.list(rig.hosts, false);
   }
@@ -417,7 +417,7 @@
       rig.route(q);
     }
     if (!q.ended) rig.now = q.deadline;
-    const auto end = q.ended ? answer.end : rig.route(q).end;
+    const auto end = q.ended ? answer.query_end : rig.route(q).query_end;
     if (end != QueryEnd::none) CHECK(end == row.end);
   }
 }
@@ -651,7 +651,7 @@
       rig.route(q);
       for (int i = 0; i < row.in; ++i) rig.settle(q, i, Outcome::success);
       if (late) rig.now += 0.98;
-      CHECK(rig.route(q).end == (late ? row.after : row.before));
+      CHECK(rig.route(q).query_end == (late ? row.after : row.before));
     }
   }
 }
@@ -666,12 +666,12 @@
     q.first_step_complete = first_whole;
     q.leaves[0].answered = true;
     q.parts_expected = 1;
-    CHECK(rig.route(q).end == QueryEnd::none);
+    CHECK(rig.route(q).query_end == QueryEnd::none);
     q.leaves.push_back({0, 1, 0, 2, false, {}});
     q.parts_expected = 0;
     CHECK(rig.route(q).sends.size() == 1);
     rig.settle(q, 1, Outcome::success);
-    CHECK(rig.route(q).end == (first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial));
+    CHECK(rig.route(q).query_end == (first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial));
   }
 }
 
@@ -727,8 +727,8 @@
   for (int i = 0; i < 400; ++i) {
     auto q = rig.query(i % 2, 1);
     const auto answer = rig.route(q);
-    refused[i % 2] += answer.end == QueryEnd::reject;
-    CHECK((answer.end == QueryEnd::reject) == answer.sends.empty());
+    refused[i % 2] += answer.query_end == QueryEnd::reject;
+    CHECK((answer.query_end == QueryEnd::reject) == answer.sends.empty());
     if (!q.ended) rig.settle(q, 0, Outcome::cancelled);
   }
   CHECK(refused[0] > 20);
@@ -749,7 +749,7 @@
     int refused = 0;
     for (int i = 0; i < 20; ++i) {
       auto q = rig.query(0, 1, time);
-      refused += rig.route(q).end == QueryEnd::reject;
+      refused += rig.route(q).query_end == QueryEnd::reject;
       if (!q.ended) rig.settle(q, 0, Outcome::success);
     }
     CHECK((time < 0.4 ? refused >= 10 : refused == 0));
@@ -762,7 +762,7 @@
     int refused = 0;
     for (int i = 0; i < 60; ++i) {
       auto q = rig.query(0, 1);
-      refused += rig.route(q).end == QueryEnd::reject;
+      refused += rig.route(q).query_end == QueryEnd::reject;
       rig.now += 0.005;
       for (int tries = 0; tries < 3 && !q.ended; ++tries) {
         rig.settle(q, 0, outcome);
@@ -811,7 +811,7 @@
     int refused = 0;
     for (int i = 0; i < burst; ++i) {
       auto q = rig.query(0, 4);
-      refused += rig.route(q).end == QueryEnd::reject;
+      refused += rig.route(q).query_end == QueryEnd::reject;
     }
     CHECK((burst > 2 ? refused > 20 : refused == 0));
   }
@@ -825,7 +825,7 @@
     for (int i = 0; i < 40; ++i) {
       auto q = rig.query(0, parts);
       const auto answer = rig.route(q);
-      refused += answer.end == QueryEnd::reject;
+      refused += answer.query_end == QueryEnd::reject;
       rig.pass(0.05);
       for (const auto& send : answer.sends)
         if (send.leaf % 5 != 0) rig.settle(q, send.leaf, Outcome::success, 0);
@@ -846,8 +846,8 @@
     for (int i = 0; i < 60; ++i) {
       auto q = rig.query(0, 9);
       const auto answer = rig.route(q);
-      refused += answer.end == QueryEnd::reject;
-      if (answer.end == QueryEnd::reject) CHECK(answer.stay_away == stay_away);
+      refused += answer.query_end == QueryEnd::reject;
+      if (answer.query_end == QueryEnd::reject) CHECK(answer.stay_away == stay_away);
       rig.pass(0.59);
       for (const auto& send : answer.sends) rig.settle(q, send.leaf, Outcome::success, 0);
     }
@@ -1038,7 +1038,7 @@
   town.site_1({true, false, 0, town.now});
   auto q = town.query(0, 1);
   const auto answer = town.route(q);
-  CHECK(answer.end == QueryEnd::reject);
+  CHECK(answer.query_end == QueryEnd::reject);
   CHECK(answer.explanation.reason == Reason::too_few_reachable);
   CHECK(answer.stay_away > 0);
   // A process that began since the loss is not judged by it.
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -56,7 +56,7 @@
     auto answer = brain.route(q, now);
     for (const auto& send : answer.sends)
       leaf(q, send.leaf).calls.push_back({send.node, send.batch, now, Outcome::pending});
-    if (answer.end != QueryEnd::none) q.ended = true;
+    if (answer.query_end != QueryEnd::none) q.ended = true;
     return answer;
   }
 
