--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -208,7 +208,7 @@
   std::vector<Cancel> cancels;
   std::vector<Send> sends;
   QueryEnd query_end = QueryEnd::none;
-  double stay_away = 0;
+  double retry_after = 0;
   Explanation explanation;  // of the end
 };
 
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -134,7 +134,7 @@
             return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
           });
       answer.query_end = harmless ? QueryEnd::reject : QueryEnd::abort;
-      answer.stay_away = is_.max_retry_after;
+      answer.retry_after = is_.max_retry_after;
       answer.explanation = explain(over ? Reason::deadline_passed : Reason::share_unreachable);
     }
     return answer;
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -249,7 +249,7 @@
         return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
       });
   answer.query_end = harmless ? QueryEnd::reject : QueryEnd::abort;
-  answer.stay_away = is.max_retry_after;
+  answer.retry_after = is.max_retry_after;
   answer.explanation = because;
   return answer;
 }
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -97,7 +97,7 @@
 void Queries::finish_step(long long number, Held& held, const Decision& answer) {
   auto& q = held.query;
   if (answer.query_end == QueryEnd::reject) {
-    actions_.reject(number, answer.stay_away, answer.explanation);
+    actions_.reject(number, answer.retry_after, answer.explanation);
   } else if (answer.query_end == QueryEnd::abort) {
     actions_.abort(number, answer.explanation);
   } else {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -847,7 +847,7 @@
       auto q = rig.query(0, 9);
       const auto answer = rig.route(q);
       refused += answer.query_end == QueryEnd::reject;
-      if (answer.query_end == QueryEnd::reject) CHECK(answer.stay_away == stay_away);
+      if (answer.query_end == QueryEnd::reject) CHECK(answer.retry_after == stay_away);
       rig.pass(0.59);
       for (const auto& send : answer.sends) rig.settle(q, send.leaf, Outcome::success, 0);
     }
@@ -1040,7 +1040,7 @@
   const auto answer = town.route(q);
   CHECK(answer.query_end == QueryEnd::reject);
   CHECK(answer.explanation.reason == Reason::too_few_reachable);
-  CHECK(answer.stay_away > 0);
+  CHECK(answer.retry_after > 0);
   // A process that began since the loss is not judged by it.
   for (auto& host : town.hosts) host.started_at = town.now + 1;
   town.pass(1.5);
