--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -192,7 +192,7 @@
   int batch = kNone;
   double timeout = 0;
   Explanation explanation;
-  double by = std::numeric_limits<double>::infinity();  // its first byte leaves within so long, or never
+  double max_send_delay = std::numeric_limits<double>::infinity();  // its first byte leaves within so long, or never
 };
 
 struct Cancel {
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -198,9 +198,9 @@
   const auto flight = world_.send(*this, held.request, send, send.leaf, call);
   const auto due = due_.fresh_key();
   held.out.push_back({send.leaf, call, flight, due, 0});
-  if (send.by < send.timeout) {
+  if (send.max_send_delay < send.timeout) {
     held.out.back().by = due_.fresh_key();
-    due_.set(held.out.back().by, now() + send.by,
+    due_.set(held.out.back().by, now() + send.max_send_delay,
              [this, query, leaf = send.leaf, call](double) { withdraw(query, leaf, call); });
   }
   due_.set(due, now() + send.timeout,
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -635,7 +635,7 @@
   if (send.leaf >= held.second_from) options += held.first_step;
   pool_.send(send.node, send.batch,
              {{query, send.leaf, call}, part.id, part.shard, std::move(options), held.text}, send.timeout,
-             send.by);
+             send.max_send_delay);
 }
 
 void Router::cancel(long long query, const Cancel& cancel) {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -432,17 +432,17 @@
     auto q = rig.query(vertical, 1);
     const auto first = rig.route(q);
     REQUIRE(first.sends.size() == 1);
-    CHECK(first.sends[0].by == std::numeric_limits<double>::infinity());
+    CHECK(first.sends[0].max_send_delay == std::numeric_limits<double>::infinity());
     rig.now += 0.5;
     rig.settle(q, 0, outcome);
     const auto again = rig.route(q);
     REQUIRE(again.sends.size() == 1);
     if (bounded) {
       // Of 2 s; a router may be held up after it has looked at its clock.
-      CHECK(again.sends[0].by < 1.5 - kMaxSendStallSeconds);
-      CHECK(again.sends[0].by > 1.4 - kMaxSendStallSeconds);
+      CHECK(again.sends[0].max_send_delay < 1.5 - kMaxSendStallSeconds);
+      CHECK(again.sends[0].max_send_delay > 1.4 - kMaxSendStallSeconds);
     } else {
-      CHECK(again.sends[0].by == std::numeric_limits<double>::infinity());
+      CHECK(again.sends[0].max_send_delay == std::numeric_limits<double>::infinity());
     }
   }
 }
