--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -221,7 +221,7 @@
 // What a site (a zone of the list) may get, as src/sites believes.
 struct SiteShare {
   bool lost = false;   // nothing, but for a trial
-  bool trial = false;  // a part may be sent there to see
+  bool probe_allowed = false;  // a part may be sent there to see
   double share = 1;    // of what its nodes would get by their scores
   double since = 0;    // when it was lost: a process born later is not judged by that
 };
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -227,7 +227,7 @@
   of(q).waiting.insert({now, verticals.usual_step(q), node_index});
   relative_work.sent(q.vertical, now);
   nodes.cold.sent(node, relative_work.of(q.vertical), now);
-  if (nodes.lost(node)) nodes.sites[static_cast<std::size_t>(node.zone)].trial = false;
+  if (nodes.lost(node)) nodes.sites[static_cast<std::size_t>(node.zone)].probe_allowed = false;
   nodes.tell(node_index, 0);
   if (leaf.attempts() == 0) {
     firsts.add(now);
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -200,7 +200,7 @@
 double Nodes::by_site(const Node& node, bool may_try, std::ranlux24_base& chance) const {
   const auto* known = site(node);
   if (known == nullptr || known->share >= 1) return 1;
-  if (known->lost) return known->trial && may_try ? 1 / kAway : 0;
+  if (known->lost) return known->probe_allowed && may_try ? 1 / kAway : 0;
   return std::uniform_real_distribution<>(0, 1)(chance) < known->share ? 1 : kAway;
 }
 
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -118,7 +118,7 @@
   }
   bool lost(const Node& node) const { return site(node) != nullptr && site(node)->lost; }
   bool within_reach(const Node& node, double now) const {
-    return node.up && !shunned(node, now) && (!lost(node) || site(node)->trial);
+    return node.up && !shunned(node, now) && (!lost(node) || site(node)->probe_allowed);
   }
   // What that does to its score: 0 where it is passed over, 1 where nothing.
   double by_site(const Node& node, bool may_try, std::ranlux24_base& chance) const;
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -60,7 +60,7 @@
       if (!shares.empty()) {
         const auto& s = shares[static_cast<std::size_t>(of)];
         const auto born = hosts[static_cast<std::size_t>(node)].started_at;
-        if (born <= s.since && s.lost && !s.trial) continue;
+        if (born <= s.since && s.lost && !s.probe_allowed) continue;
         if (born <= s.since && !s.lost && std::uniform_real_distribution<>(0, 1)(chance) >= s.share) continue;
       }
       send(node);
