--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -223,7 +223,7 @@
   bool lost = false;   // nothing, but for a trial
   bool probe_allowed = false;  // a part may be sent there to see
   double share = 1;    // of what its nodes would get by their scores
-  double since = 0;    // when it was lost: a process born later is not judged by that
+  double lost_at = 0;    // when it was lost: a process born later is not judged by that
 };
 
 // What is believed of a node.
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -144,7 +144,7 @@
       if (!of_node && bar.reason != Reason::none) because = bar;
       if (bar.reason != Reason::none) return false;
       const auto by_site = nodes.by_site(node, leaf.calls.empty() && repeatable(q), chance);
-      if (by_site <= 0) return judged.add(index, i, explain(Reason::site_avoided, now - nodes.site(node)->since)), false;
+      if (by_site <= 0) return judged.add(index, i, explain(Reason::site_avoided, now - nodes.site(node)->lost_at)), false;
       const auto shunned = nodes.shunned(node, now);
       if (shunned)
         judged.add(index, i,
@@ -181,7 +181,7 @@
   return is.may_cancel && is.may_copy &&
          std::all_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& call) {
            const auto& node = at(call.node);
-           return !call.pending() || (nodes.lost(node) && call.sent_at <= nodes.site(node)->since) ||
+           return !call.pending() || (nodes.lost(node) && call.sent_at <= nodes.site(node)->lost_at) ||
                   ((nodes.overtaken(node, call.sent_at, now) || (node.suspect && node.answered < call.sent_at)) &&
                    now >= call.sent_at + of(q).lost + verticals.excess(leaf));
          });
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -211,7 +211,7 @@
     if (!before[i].lost || (i < sites.size() && sites[i].lost)) continue;
     ways[i].delay = 0;
     for (auto& node : all) {
-      if (node.zone != static_cast<int>(i) || node.born > before[i].since) continue;
+      if (node.zone != static_cast<int>(i) || node.born > before[i].lost_at) continue;
       node.suspect = false;
       node.bad_row = node.row_seen = 0;
       node.latency = 0;
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -114,7 +114,7 @@
   // What its site may get; nullptr: nothing is known against it.
   const SiteShare* site(const Node& node) const {
     const auto zone_at = static_cast<std::size_t>(node.zone);
-    return zone_at < sites.size() && node.born <= sites[zone_at].since ? &sites[zone_at] : nullptr;
+    return zone_at < sites.size() && node.born <= sites[zone_at].lost_at ? &sites[zone_at] : nullptr;
   }
   bool lost(const Node& node) const { return site(node) != nullptr && site(node)->lost; }
   bool within_reach(const Node& node, double now) const {
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -60,8 +60,8 @@
       if (!shares.empty()) {
         const auto& s = shares[static_cast<std::size_t>(of)];
         const auto born = hosts[static_cast<std::size_t>(node)].started_at;
-        if (born <= s.since && s.lost && !s.probe_allowed) continue;
-        if (born <= s.since && !s.lost && std::uniform_real_distribution<>(0, 1)(chance) >= s.share) continue;
+        if (born <= s.lost_at && s.lost && !s.probe_allowed) continue;
+        if (born <= s.lost_at && !s.lost && std::uniform_real_distribution<>(0, 1)(chance) >= s.share) continue;
       }
       send(node);
     }
@@ -328,7 +328,7 @@
   town.view.list(town.hosts, true, town.now);
   CHECK(town.view.belief(1) == SiteBelief::returning);
   // The new processes are not judged by the old ones' loss.
-  CHECK(town.hosts[8].started_at > town.view.shares()[1].since);
+  CHECK(town.hosts[8].started_at > town.view.shares()[1].lost_at);
 }
 
 TEST_CASE("an evacuation empties a site at its rate, is held back while another is lost, and ends") {
