--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -215,7 +215,7 @@
 // What routers tell each other: a part was sent to a node, or a call there has ended.
 struct PeerReport {
   int node = kNone;
-  double took = 0;  // what is taken for the latency of the call that ended; 0: one was sent
+  double latency = 0;  // what is taken for the latency of the call that ended; 0: one was sent
 };
 
 // What a site (a zone of the list) may get, as src/sites believes.
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -156,10 +156,10 @@
   if (static_cast<std::size_t>(word.node) >= all.size()) return;
   auto& node = at(word.node);
   touch(word.node);
-  if (word.took <= 0) return node.others.size() < kMostOthers ? void(node.others.insert(now)) : void();
-  const auto sent = node.others.lower_bound(now - kToldSlack * word.took);
+  if (word.latency <= 0) return node.others.size() < kMostOthers ? void(node.others.insert(now)) : void();
+  const auto sent = node.others.lower_bound(now - kToldSlack * word.latency);
   if (sent != node.others.end()) node.others.erase(sent);
-  node.told = node.told > 0 ? node.told + kSmoothing * (word.took - node.told) : word.took;
+  node.told = node.told > 0 ? node.told + kSmoothing * (word.latency - node.told) : word.latency;
   node.told_at = now;
 }
 
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -117,7 +117,7 @@
     for (auto i = from; i < std::min(words.size(), from + kMostWords); ++i) {
       const auto of_node = mark(node_ids_[static_cast<std::size_t>(words[i].node)]);
       for (const auto shift : {16, 8, 0}) raw += static_cast<char>(of_node >> shift & 0xff);
-      raw += static_cast<char>(step_of(words[i].took));
+      raw += static_cast<char>(step_of(words[i].latency));
     }
     say("announce", -1LL, encode(raw).c_str());
   }
