--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -237,7 +237,7 @@
 
   // The three questions.
   virtual Decision route(Query& q, double now) = 0;
-  virtual Decision settle(Query& q, int leaf, int call, double now) = 0;  // the outcome stands in the call
+  virtual Decision on_call_ended(Query& q, int leaf, int call, double now) = 0;  // the outcome stands in the call
   virtual double wait(const Query& q, double now) const = 0;
 
   virtual void take(int requests, double now) = 0;  // so many queries and parts came in
@@ -264,7 +264,7 @@
   ~AdaptiveRoutingPolicy() override;
 
   Decision route(Query& q, double now) override;
-  Decision settle(Query& q, int leaf, int call, double now) override;
+  Decision on_call_ended(Query& q, int leaf, int call, double now) override;
   double wait(const Query& q, double now) const override;
   void take(int requests, double now) override;
   void list(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -41,7 +41,7 @@
     return answer;
   }
 
-  Decision settle(Query& q, int leaf_index, int call_index, double now) override {
+  Decision on_call_ended(Query& q, int leaf_index, int call_index, double now) override {
     auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
     const auto& call = leaf.calls[static_cast<std::size_t>(call_index)];
     if (call.outcome != Outcome::unsent) {
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -371,7 +371,7 @@
     if (!q.leaves[i].answered) s.place(q, static_cast<int>(i), answer, now);
   return answer;
 }
-Decision AdaptiveRoutingPolicy::settle(Query& q, int leaf_index, int call_index, double now) {
+Decision AdaptiveRoutingPolicy::on_call_ended(Query& q, int leaf_index, int call_index, double now) {
   auto& s = *s_;
   s.wake(now);
   s.judged.entries.clear();
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -67,7 +67,7 @@
   sites_.ended(call.node, call.sent_at, outcome, now);
   believe();
   if (witness_ != nullptr) witness_->settled(number, held.query, leaf, call_number, now);
-  perform(number, held, decisions_->settle(held.query, leaf, call_number, now), now);
+  perform(number, held, decisions_->on_call_ended(held.query, leaf, call_number, now), now);
   touch(number, held);
 }
 
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -64,7 +64,7 @@
     auto& calls = leaf(q, index).calls;
     const auto at = call < 0 ? calls.size() - 1 : static_cast<std::size_t>(call);
     calls[at].outcome = outcome;
-    return brain.settle(q, index, static_cast<int>(at), now);
+    return brain.on_call_ended(q, index, static_cast<int>(at), now);
   }
 
   // Queries of one part, each answered after so long; returns the sends each node had.
