--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -238,7 +238,7 @@
   // The three questions.
   virtual Decision route(Query& q, double now) = 0;
   virtual Decision on_call_ended(Query& q, int leaf, int call, double now) = 0;  // the outcome stands in the call
-  virtual double wait(const Query& q, double now) const = 0;
+  virtual double time_to_next_check(const Query& q, double now) const = 0;
 
   virtual void take(int requests, double now) = 0;  // so many queries and parts came in
   // told: discovery says so now; else it is what was known last, before the start.
@@ -265,7 +265,7 @@
 
   Decision route(Query& q, double now) override;
   Decision on_call_ended(Query& q, int leaf, int call, double now) override;
-  double wait(const Query& q, double now) const override;
+  double time_to_next_check(const Query& q, double now) const override;
   void take(int requests, double now) override;
   void list(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) override;
   void forget(int node) override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -58,7 +58,7 @@
     return answer;
   }
 
-  double wait(const Query& q, double now) const override {
+  double time_to_next_check(const Query& q, double now) const override {
     auto due = last(q);
     for (const auto& leaf : q.leaves)
       if (!leaf.answered)
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -384,7 +384,7 @@
   if (s.is.may_cancel) cancel_pending(answer, leaf, leaf_index, Reason::race_lost, now);
   return answer;
 }
-double AdaptiveRoutingPolicy::wait(const Query& q, double now) const {
+double AdaptiveRoutingPolicy::time_to_next_check(const Query& q, double now) const {
   auto& s = *s_;
   auto due = s.verticals.last_end(q);
   if (now < s.verticals.slo_end(q)) due = std::min(due, s.verticals.slo_end(q));
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -375,7 +375,7 @@
     rig.route(q);
     double due = 0;
     while (!q.ended && due < 10) {
-      const auto wait = rig.brain.wait(q, rig.now);
+      const auto wait = rig.brain.time_to_next_check(q, rig.now);
       due += wait;
       rig.now += wait;
       rig.route(q);
