--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -240,7 +240,7 @@
   virtual Decision on_call_ended(Query& q, int leaf, int call, double now) = 0;  // the outcome stands in the call
   virtual double time_to_next_check(const Query& q, double now) const = 0;
 
-  virtual void take(int requests, double now) = 0;  // so many queries and parts came in
+  virtual void on_requests_received(int requests, double now) = 0;  // so many queries and parts came in
   // told: discovery says so now; else it is what was known last, before the start.
   virtual void list(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) = 0;
   virtual void forget(int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
@@ -266,7 +266,7 @@
   Decision route(Query& q, double now) override;
   Decision on_call_ended(Query& q, int leaf, int call, double now) override;
   double time_to_next_check(const Query& q, double now) const override;
-  void take(int requests, double now) override;
+  void on_requests_received(int requests, double now) override;
   void list(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) override;
   void forget(int node) override;
   void list_failed(double now) override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -68,7 +68,7 @@
     return std::max(due - now, 1e-3);
   }
 
-  void take(int, double) override {}
+  void on_requests_received(int, double) override {}
   void list(std::span<const DiscoveredNode> hosts, bool complete, bool) override {
     if (complete)
       for (auto& host : hosts_) host.up = false;
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -395,7 +395,7 @@
   }
   return std::max(due - now, 1e-3);
 }
-void AdaptiveRoutingPolicy::take(int requests, double now) {
+void AdaptiveRoutingPolicy::on_requests_received(int requests, double now) {
   s_->taken.add(now, requests);
 }
 // Only what discovery says ends the asking: taken for it, the list known last led to drained nodes.
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -26,7 +26,7 @@
 }
 
 void Queries::take(long long number, Query start, double now) {
-  decisions_->take(1, now);
+  decisions_->on_requests_received(1, now);
   auto held = std::make_unique<Held>();
   held->query = std::move(start);
   held->query.received_at = now;
@@ -36,7 +36,7 @@
 }
 
 int Queries::take_part(long long number, Leaf leaf, double now) {
-  decisions_->take(1, now);
+  decisions_->on_requests_received(1, now);
   const auto at = held_.find(number);
   if (at == held_.end() || at->second->query.ended) return kNone;
   auto& held = *at->second;
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -48,7 +48,7 @@
     q.received_at = now;
     q.deadline = now + time;
     for (int i = 0; i < parts; ++i) q.leaves.push_back({i, 1.0 / parts, 0, 1, false, {}});
-    brain.take(parts + 1, now);
+    brain.on_requests_received(parts + 1, now);
     return q;
   }
 
