--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -242,7 +242,7 @@
 
   virtual void on_requests_received(int requests, double now) = 0;  // so many queries and parts came in
   // told: discovery says so now; else it is what was known last, before the start.
-  virtual void list(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) = 0;
+  virtual void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) = 0;
   virtual void forget(int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
   virtual void list_failed(double now) = 0;
   virtual bool tick(double now) = 0;  // whether the list must be asked for
@@ -267,7 +267,7 @@
   Decision on_call_ended(Query& q, int leaf, int call, double now) override;
   double time_to_next_check(const Query& q, double now) const override;
   void on_requests_received(int requests, double now) override;
-  void list(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) override;
+  void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) override;
   void forget(int node) override;
   void list_failed(double now) override;
   bool tick(double now) override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -69,7 +69,7 @@
   }
 
   void on_requests_received(int, double) override {}
-  void list(std::span<const DiscoveredNode> hosts, bool complete, bool) override {
+  void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool) override {
     if (complete)
       for (auto& host : hosts_) host.up = false;
     for (const auto& host : hosts) {
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -29,12 +29,12 @@
   queries_->sites().on(plan_);
   ready_ = stopped_ = ending_ = false;
   armed_ = -1;
-  if (const auto known = list(true); !known.empty()) queries_->list(known, true, now(), false);
+  if (const auto known = list(true); !known.empty()) queries_->update_nodes(known, true, now(), false);
   engine_.after(kStarts, [this, life = life_] {
     if (life != life_ || !alive()) return;
     take([this] {
       ready_ = true;
-      if (const auto told = list(false); !told.empty()) queries_->list(told, true, now());
+      if (const auto told = list(false); !told.empty()) queries_->update_nodes(told, true, now());
     });
   });
   // Processes that begin together do not tick together.
@@ -141,7 +141,7 @@
 
 void Process::told(std::vector<DiscoveredNode> hosts, bool complete) {
   take([this, hosts = std::move(hosts), complete] {
-    if (ready_) queries_->list(hosts, complete, now());
+    if (ready_) queries_->update_nodes(hosts, complete, now());
   });
 }
 
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -399,7 +399,7 @@
   s_->taken.add(now, requests);
 }
 // Only what discovery says ends the asking: taken for it, the list known last led to drained nodes.
-void AdaptiveRoutingPolicy::list(std::span<const DiscoveredNode> hosts, bool complete, bool told) {
+void AdaptiveRoutingPolicy::update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told) {
   s_->nodes.list(hosts, complete);
   if (told) s_->ask_after = kNever;
 }
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -36,8 +36,8 @@
   Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed, TimerQueue& due,
           QueryActions& actions);
 
-  void list(std::span<const DiscoveredNode> hosts, bool complete, double now, bool told = true) {
-    decisions_->list(hosts, complete, told);
+  void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, double now, bool told = true) {
+    decisions_->update_nodes(hosts, complete, told);
     sites_.list(hosts, complete, now);
   }
   void forget_node(int node) {
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -766,7 +766,7 @@
         pool_.leave(node);
         if (recorder_) recorder_->left(node, list.version, now());
       }
-  queries_.list(hosts, list.full, now());
+  queries_.update_nodes(hosts, list.full, now());
   log_.line("list", "version={} full={} entries={} ready={}", list.version, list.full, list.members.size(),
             ready);
   if (phase_ == Phase::starting && ready > 0) enter(Phase::serving);
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -62,7 +62,7 @@
   for (const auto& entry : entries)
     hosts.push_back(
         {node(entry.node), look_up(zones_, entry.zone), entry.cell, entry.status == 'U', entry.born});
-  queries_.list(hosts, kind != "incr", now, kind != "warm_copy");
+  queries_.update_nodes(hosts, kind != "incr", now, kind != "warm_copy");
 }
 
 void Instance::on_demand(Fields& fields, double now) {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -233,12 +233,12 @@
         host.zone = zone_of(host.node);
         host.up = host.zone == zone;
       }
-      rig.brain.list(rig.hosts, true);
+      rig.brain.update_nodes(rig.hosts, true);
       queries[zone] = rig.query(2, 12, 10);
       REQUIRE(rig.route(queries[zone]).sends.size() == 12);
     }
     for (auto& host : rig.hosts) host.up = zone_of(host.node) == 1 || host.node < 30;
-    rig.brain.list(rig.hosts, true);  // near nodes are few now
+    rig.brain.update_nodes(rig.hosts, true);  // near nodes are few now
     for (const int zone : {0, 1}) {
       rig.pass(zone == 1 ? late : 0.1);
       for (int i = 0; i < 12; ++i) rig.settle(queries[zone], i, Outcome::success);
@@ -306,7 +306,7 @@
     for (int i = 0; i < 300; ++i) rig.settle(q, i, Outcome::success);
     CHECK(rig.route(q).query_end == QueryEnd::merge_complete);
     for (auto& host : rig.hosts) host.up = (host.node + round) % 3 != 0;
-    rig.brain.list(rig.hosts, false);
+    rig.brain.update_nodes(rig.hosts, false);
   }
 }
 
@@ -314,7 +314,7 @@
   for (const auto outcome : {Outcome::malformed, Outcome::disconnected, Outcome::failure}) {
     Rig rig;
     rig.hosts[1].up = rig.hosts[2].up = false;
-    rig.brain.list(rig.hosts, true);
+    rig.brain.update_nodes(rig.hosts, true);
     rig.serve(30, 0.1);
     auto q = rig.query(0, 4);
     rig.route(q);
@@ -485,21 +485,21 @@
   for (int i = 0; i < 3; ++i) {
     auto q = rig.query(0, 1);
     for (const int other : {1, 2}) rig.hosts[static_cast<std::size_t>(other)].up = false;
-    rig.brain.list(rig.hosts, true);
+    rig.brain.update_nodes(rig.hosts, true);
     rig.route(q);
     rig.settle(q, 0, Outcome::failure);
   }
   rig.hosts[0].up = false;
   rig.hosts[1].up = rig.hosts[2].up = true;
-  rig.brain.list(rig.hosts, true);
+  rig.brain.update_nodes(rig.hosts, true);
   rig.brain.forget(0);
   const DiscoveredNode nowhere{900, 0, 77, true, 0};  // a cell that is not there
-  rig.brain.list({&nowhere, 1}, false);
+  rig.brain.update_nodes({&nowhere, 1}, false);
   rig.brain.forget(nowhere.node);
   rig.pass(0.1);
   CHECK(rig.serve(6, 0.1)[0] == 0);
   rig.hosts[0].up = true;
-  rig.brain.list(rig.hosts, true);
+  rig.brain.update_nodes(rig.hosts, true);
   auto q = rig.query(0, 6);
   const auto sends = rig.route(q).sends;
   CHECK(std::any_of(sends.begin(), sends.end(), [](const Send& send) { return send.node == 0; }));
@@ -510,7 +510,7 @@
     Rig rig;
     std::vector<DiscoveredNode> news{{0, 0, 0, false, 0}};
     if (complete) news = {rig.hosts[1], rig.hosts[2]};
-    rig.brain.list(news, complete);
+    rig.brain.update_nodes(news, complete);
     CHECK(rig.serve(30, 0.05)[0] == 0);
   }
 }
@@ -519,7 +519,7 @@
   Rig rig;
   rig.serve(100, 0.05);  // 20 a second, 6.7 a node
   rig.hosts[0].started_at = rig.now;
-  rig.brain.list(rig.hosts, true);
+  rig.brain.update_nodes(rig.hosts, true);
   CHECK(rig.serve(20, 0.05)[0] <= 3);
   rig.now += 11;
   CHECK(rig.serve(200, 0.05)[0] > 30);
@@ -531,7 +531,7 @@
     s.router_count = routers;
     Rig rig(s, 1);
     rig.hosts[0].started_at = rig.now;
-    rig.brain.list(rig.hosts, true);
+    rig.brain.update_nodes(rig.hosts, true);
     int sent = 0;
     for (int i = 0; i < 9; ++i) {
       auto q = rig.query(0, 1);
@@ -549,7 +549,7 @@
   rig.serve(200, 0.05);
   rig.pass(12);  // nothing is asked: nothing is answered
   rig.hosts[0].started_at = rig.now;
-  rig.brain.list(rig.hosts, true);
+  rig.brain.update_nodes(rig.hosts, true);
   auto q = rig.query(0, 60);
   int cold = 0;
   for (const auto& send : rig.route(q).sends) cold += send.node == 0;
@@ -563,7 +563,7 @@
   s.slow_start_time = 1000;
   Rig rig(s, 1);
   rig.hosts[0].started_at = rig.now;
-  rig.brain.list(rig.hosts, true);
+  rig.brain.update_nodes(rig.hosts, true);
   auto first = rig.query(0, 1, 1e4);
   if (!rig.route(first).sends.empty()) rig.settle(first, 0, Outcome::success);
   rig.pass(200);
@@ -583,7 +583,7 @@
   }
   rig.serve(3, 0.05);
   rig.hosts.push_back({3, 0, 0, true, 0});
-  rig.brain.list(rig.hosts, true);
+  rig.brain.update_nodes(rig.hosts, true);
   CHECK(rig.serve(3, 0.05)[3] == 0);
 }
 
@@ -606,7 +606,7 @@
   // A new process has nothing waiting that the old one had.
   for (int i = 0; i < 5000; ++i) rig.brain.hear({0, 0}, rig.now);
   rig.hosts[0].started_at = rig.now - 11;
-  rig.brain.list(rig.hosts, false);
+  rig.brain.update_nodes(rig.hosts, false);
   auto fresh = rig.query(0, 9);
   int there = 0;
   for (const auto& send : rig.route(fresh).sends) there += send.node == 0;
@@ -859,14 +859,14 @@
   auto s = settings();
   s.must_request_node_list = true;
   AdaptiveRoutingPolicy brain(s, 1, 100);
-  brain.list(Rig(s).hosts, true, false);  // known last: nothing that discovery said
+  brain.update_nodes(Rig(s).hosts, true, false);  // known last: nothing that discovery said
   CHECK(brain.tick(100.1));
   CHECK(!brain.tick(100.2));
   brain.list_failed(100.3);
   CHECK(!brain.tick(100.4));
   brain.tick(103.3);  // the round after a standstill only takes note of it
   CHECK(brain.tick(103.4));
-  brain.list(Rig(s).hosts, false);
+  brain.update_nodes(Rig(s).hosts, false);
   brain.tick(120);
   CHECK(!brain.tick(120.1));
 }
@@ -944,7 +944,7 @@
 
   rig.hosts[0].up = false;
   rig.hosts[1].started_at = rig.now;
-  rig.brain.list(rig.hosts, true);
+  rig.brain.update_nodes(rig.hosts, true);
   CHECK(rig.brain.belief(1, rig.now) == NodeHealth::slow_start);
   CHECK(rig.brain.belief(2, rig.now) == NodeHealth::healthy);
   rig.pass(0.01);
@@ -984,7 +984,7 @@
 struct Sites : Rig {
   Sites() : Rig(six(), 6) {
     for (auto& host : hosts) host.zone = host.node / 3;
-    brain.list(hosts, true);
+    brain.update_nodes(hosts, true);
     serve(300, 0.02);
   }
   static Settings six() {
@@ -1023,18 +1023,18 @@
   CHECK(quarter > 5);
   CHECK(quarter < usual * 2 / 3);
   for (auto& host : town.hosts) host.up = host.zone == 1;
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   CHECK(town.far(20) == 20);
   town.brain.believe({});
   for (auto& host : town.hosts) host.up = true;
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   CHECK(town.far(200) > quarter);
 }
 
 TEST_CASE("what nobody is left to serve is rejected at once, with a time to come back") {
   Sites town;
   for (auto& host : town.hosts) host.up = host.zone == 1;
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   town.site_1({true, false, 0, town.now});
   auto q = town.query(0, 1);
   const auto answer = town.route(q);
@@ -1044,7 +1044,7 @@
   // A process that began since the loss is not judged by it.
   for (auto& host : town.hosts) host.started_at = town.now + 1;
   town.pass(1.5);
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   auto again = town.query(0, 1);
   CHECK(town.route(again).sends.size() == 1);
 }
@@ -1054,11 +1054,11 @@
     CAPTURE(vertical);
     Sites town;
     for (auto& host : town.hosts) host.up = host.zone == 1;
-    town.brain.list(town.hosts, true);
+    town.brain.update_nodes(town.hosts, true);
     auto q = town.query(vertical, 1);
     REQUIRE(town.route(q).sends.size() == 1);
     for (auto& host : town.hosts) host.up = true;
-    town.brain.list(town.hosts, true);
+    town.brain.update_nodes(town.hosts, true);
     CHECK(town.route(q).sends.empty());
     town.site_1({true, false, 0, town.now});
     const auto answer = town.route(q);
@@ -1072,7 +1072,7 @@
 TEST_CASE("nodes whose site is back are not held suspect for what its loss made of them") {
   Sites town;
   for (auto& host : town.hosts) host.up = host.zone == 1;
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   for (int i = 0; i < 30; ++i) {
     auto q = town.query(0, 6);
     town.route(q);
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -17,7 +17,7 @@
   explicit Desk(const Settings& s = settings()) : queries(s, 7, now, due, *this) {
     std::vector<DiscoveredNode> hosts;
     for (int i = 0; i < 3; ++i) hosts.push_back({i, 0, i, true, 0});
-    queries.list(hosts, true, now);
+    queries.update_nodes(hosts, true, now);
   }
 
   void take(int vertical, int parts, long long number = 1) {
@@ -188,7 +188,7 @@
   TimerQueue due;
   Queries queries(settings(pairs(setup)), 77, 1, due, recorder);
   const DiscoveredNode hosts[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
-  queries.list(hosts, true, 1);
+  queries.update_nodes(hosts, true, 1);
   std::string text = "frame 1000000 1\nopen_instance router-0 77 " + setup +
                      "\ninventory 0 3\nnode 0 a k 0 U 1 -\nnode 1 a k 1 U 1 -\nnode 2 b k 2 U 1 -\n"
                      "membership router-0 warm_copy 0 1\ngo\n";
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -39,7 +39,7 @@
  public:
   explicit Rig(const Settings& s = settings(), int nodes = 3) : brain(s, 7, now) {
     for (int i = 0; i < nodes; ++i) hosts.push_back({i, 0, i % s.cell_count, true, 0});
-    brain.list(hosts, true);
+    brain.update_nodes(hosts, true);
   }
 
   Query query(int vertical, int parts, double time = 4) {
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -192,7 +192,7 @@
       hosts.push_back({i, 0, i % 3, true, 0});
       recorder.listed(i, fmt::format("n{}", i), "", true, 0, 1, now);
     }
-    queries.list(hosts, true, 0);
+    queries.update_nodes(hosts, true, 0);
     for (long long number = 1; number < 400; ++number) {
       now += 0.002 * static_cast<double>(chance() % 40);
       Query q;
