--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -243,7 +243,7 @@
   virtual void on_requests_received(int requests, double now) = 0;  // so many queries and parts came in
   // told: discovery says so now; else it is what was known last, before the start.
   virtual void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) = 0;
-  virtual void forget(int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
+  virtual void remove_node(int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
   virtual void list_failed(double now) = 0;
   virtual bool tick(double now) = 0;  // whether the list must be asked for
   virtual double period() const = 0;
@@ -268,7 +268,7 @@
   double time_to_next_check(const Query& q, double now) const override;
   void on_requests_received(int requests, double now) override;
   void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) override;
-  void forget(int node) override;
+  void remove_node(int node) override;
   void list_failed(double now) override;
   bool tick(double now) override;
   double period() const override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -83,7 +83,7 @@
       if ((host.up || breaks(Design::Broken::drains)) && host.cell >= 0 && host.cell < is_.cell_count)
         by_cell_[static_cast<std::size_t>(host.cell)].push_back(host.node);
   }
-  void forget(int) override {}
+  void remove_node(int) override {}
   void list_failed(double) override {}
   bool tick(double now) override {
     auto samples = latencies_.recent(now);
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -403,7 +403,7 @@
   s_->nodes.list(hosts, complete);
   if (told) s_->ask_after = kNever;
 }
-void AdaptiveRoutingPolicy::forget(int node) {
+void AdaptiveRoutingPolicy::remove_node(int node) {
   s_->nodes.forget(node);
 }
 void AdaptiveRoutingPolicy::list_failed(double now) {
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -41,7 +41,7 @@
     sites_.list(hosts, complete, now);
   }
   void forget_node(int node) {
-    decisions_->forget(node);
+    decisions_->remove_node(node);
     sites_.forget(node);
   }
   void hear(PeerReport word, double now) { decisions_->hear(word, now); }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -492,10 +492,10 @@
   rig.hosts[0].up = false;
   rig.hosts[1].up = rig.hosts[2].up = true;
   rig.brain.update_nodes(rig.hosts, true);
-  rig.brain.forget(0);
+  rig.brain.remove_node(0);
   const DiscoveredNode nowhere{900, 0, 77, true, 0};  // a cell that is not there
   rig.brain.update_nodes({&nowhere, 1}, false);
-  rig.brain.forget(nowhere.node);
+  rig.brain.remove_node(nowhere.node);
   rig.pass(0.1);
   CHECK(rig.serve(6, 0.1)[0] == 0);
   rig.hosts[0].up = true;
