--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -244,7 +244,7 @@
   // told: discovery says so now; else it is what was known last, before the start.
   virtual void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) = 0;
   virtual void remove_node(int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
-  virtual void list_failed(double now) = 0;
+  virtual void on_node_list_failed(double now) = 0;
   virtual bool tick(double now) = 0;  // whether the list must be asked for
   virtual double period() const = 0;
   virtual std::vector<PeerReport> tell() = 0;  // to all other routers: what there is to tell since the last call
@@ -269,7 +269,7 @@
   void on_requests_received(int requests, double now) override;
   void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) override;
   void remove_node(int node) override;
-  void list_failed(double now) override;
+  void on_node_list_failed(double now) override;
   bool tick(double now) override;
   double period() const override;
   std::vector<PeerReport> tell() override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -84,7 +84,7 @@
         by_cell_[static_cast<std::size_t>(host.cell)].push_back(host.node);
   }
   void remove_node(int) override {}
-  void list_failed(double) override {}
+  void on_node_list_failed(double) override {}
   bool tick(double now) override {
     auto samples = latencies_.recent(now);
     if (samples.size() >= 10) late_ = quantile(samples, kLateShare);
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -406,7 +406,7 @@
 void AdaptiveRoutingPolicy::remove_node(int node) {
   s_->nodes.forget(node);
 }
-void AdaptiveRoutingPolicy::list_failed(double now) {
+void AdaptiveRoutingPolicy::on_node_list_failed(double now) {
   // Many routers that were turned away together must not come back together.
   s_->ask_after = now + kListAgain * std::uniform_real_distribution<>(0.5, 1.5)(s_->chance);
 }
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -45,7 +45,7 @@
     sites_.forget(node);
   }
   void hear(PeerReport word, double now) { decisions_->hear(word, now); }
-  void list_failed(double now) { decisions_->list_failed(now); }
+  void on_node_list_failed(double now) { decisions_->on_node_list_failed(now); }
   bool tick(double now);
   Sites& sites() { return sites_; }
   double period() const { return decisions_->period(); }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -806,7 +806,7 @@
 
 void Router::watch_lost() {
   standing_.versions().watch_lost(now());
-  queries_.list_failed(now());
+  queries_.on_node_list_failed(now());
 }
 
 void Router::watch_heard() {
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -55,7 +55,7 @@
 }
 
 void Instance::on_list(std::string_view kind, const std::vector<Entry>& entries, double now) {
-  if (kind == "lost") return queries_.list_failed(now);
+  if (kind == "lost") return queries_.on_node_list_failed(now);
   if (kind != "incr" && kind != "total" && kind != "warm_copy")
     throw Malformed("kind: '" + std::string(kind) + "' makes no sense");
   std::vector<yoketurn::DiscoveredNode> hosts;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -862,7 +862,7 @@
   brain.update_nodes(Rig(s).hosts, true, false);  // known last: nothing that discovery said
   CHECK(brain.tick(100.1));
   CHECK(!brain.tick(100.2));
-  brain.list_failed(100.3);
+  brain.on_node_list_failed(100.3);
   CHECK(!brain.tick(100.4));
   brain.tick(103.3);  // the round after a standstill only takes note of it
   CHECK(brain.tick(103.4));
@@ -878,7 +878,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     AdaptiveRoutingPolicy brain(s, seed, 100);
     brain.tick(100.1);
-    brain.list_failed(100.2);
+    brain.on_node_list_failed(100.2);
     auto now = 100.2;
     while (!brain.tick(now) && now < 110) now += 0.1;
     CHECK(now > 101);
