--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -246,7 +246,7 @@
   virtual void remove_node(int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
   virtual void on_node_list_failed(double now) = 0;
   virtual bool tick(double now) = 0;  // whether the list must be asked for
-  virtual double period() const = 0;
+  virtual double tick_interval() const = 0;
   virtual std::vector<PeerReport> tell() = 0;  // to all other routers: what there is to tell since the last call
   virtual void hear(PeerReport word, double now) = 0;
   virtual void believe(std::span<const SiteShare> sites) = 0;  // by zone; empty: all are sound
@@ -271,7 +271,7 @@
   void remove_node(int node) override;
   void on_node_list_failed(double now) override;
   bool tick(double now) override;
-  double period() const override;
+  double tick_interval() const override;
   std::vector<PeerReport> tell() override;
   void hear(PeerReport word, double now) override;
   void believe(std::span<const SiteShare> sites) override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -90,7 +90,7 @@
     if (samples.size() >= 10) late_ = quantile(samples, kLateShare);
     return false;
   }
-  double period() const override { return kPeriod; }
+  double tick_interval() const override { return kPeriod; }
   std::vector<PeerReport> tell() override { return {}; }
   void hear(PeerReport, double) override {}
   void believe(std::span<const SiteShare>) override {}
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -38,7 +38,7 @@
     });
   });
   // Processes that begin together do not tick together.
-  engine_.after(queries_->period() * static_cast<double>(seed % 1000) / 1e3,
+  engine_.after(queries_->tick_interval() * static_cast<double>(seed % 1000) / 1e3,
                 [this, life = life_, chain = ++ticks_] {
                   if (life == life_) tick(chain);
                 });
@@ -81,7 +81,7 @@
   if (!alive() || stopped_ || chain != ticks_) return;
   queries_->tick(now());
   turn();
-  engine_.after(queries_->period(), [this, life = life_, chain] {
+  engine_.after(queries_->tick_interval(), [this, life = life_, chain] {
     if (life == life_) tick(chain);
   });
 }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -430,7 +430,7 @@
   if (ask) s.ask_after = now + kListPatience;
   return ask;
 }
-double AdaptiveRoutingPolicy::period() const {
+double AdaptiveRoutingPolicy::tick_interval() const {
   return kPeriod;
 }
 std::vector<PeerReport> AdaptiveRoutingPolicy::tell() {
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -48,7 +48,7 @@
   void on_node_list_failed(double now) { decisions_->on_node_list_failed(now); }
   bool tick(double now);
   Sites& sites() { return sites_; }
-  double period() const { return decisions_->period(); }
+  double tick_interval() const { return decisions_->tick_interval(); }
   NodeHealth belief(int node, double now) const { return decisions_->belief(node, now); }
   long long unjudged() const { return decisions_->unjudged(); }
   void witness(QueryObserver* witness) {  // is told of everything from now on; nullptr: nobody is
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -455,7 +455,7 @@
   const auto waits = reads_first(at);
   if (!waits) {
     observe(at);
-    next_tick_ = at + queries_.period();
+    next_tick_ = at + queries_.tick_interval();
     queries_.tick(at);  // the list is always followed: it need not be asked for
     tell_sites();
     tell_standing(at);
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -40,7 +40,7 @@
   }
   void pass(double seconds) {
     for (const auto end = now + seconds; now < end - 1e-9;) {
-      now = std::min(end, now + queries.period());
+      now = std::min(end, now + queries.tick_interval());
       queries.tick(now);
       queries.finish(now);
     }
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -83,7 +83,7 @@
 
   void pass(double seconds) {
     for (const auto end = now + seconds; now < end - 1e-9;) {
-      now = std::min(end, now + brain.period());
+      now = std::min(end, now + brain.tick_interval());
       brain.tick(now);
     }
   }
