--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -247,7 +247,7 @@
   virtual void on_node_list_failed(double now) = 0;
   virtual bool tick(double now) = 0;  // whether the list must be asked for
   virtual double tick_interval() const = 0;
-  virtual std::vector<PeerReport> tell() = 0;  // to all other routers: what there is to tell since the last call
+  virtual std::vector<PeerReport> take_peer_reports() = 0;  // to all other routers: what there is to tell since the last call
   virtual void hear(PeerReport word, double now) = 0;
   virtual void believe(std::span<const SiteShare> sites) = 0;  // by zone; empty: all are sound
 
@@ -272,7 +272,7 @@
   void on_node_list_failed(double now) override;
   bool tick(double now) override;
   double tick_interval() const override;
-  std::vector<PeerReport> tell() override;
+  std::vector<PeerReport> take_peer_reports() override;
   void hear(PeerReport word, double now) override;
   void believe(std::span<const SiteShare> sites) override;
   void explain(bool on) override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -91,7 +91,7 @@
     return false;
   }
   double tick_interval() const override { return kPeriod; }
-  std::vector<PeerReport> tell() override { return {}; }
+  std::vector<PeerReport> take_peer_reports() override { return {}; }
   void hear(PeerReport, double) override {}
   void believe(std::span<const SiteShare>) override {}
   void explain(bool) override {}
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -433,7 +433,7 @@
 double AdaptiveRoutingPolicy::tick_interval() const {
   return kPeriod;
 }
-std::vector<PeerReport> AdaptiveRoutingPolicy::tell() {
+std::vector<PeerReport> AdaptiveRoutingPolicy::take_peer_reports() {
   return std::exchange(s_->nodes.words, {});
 }
 void AdaptiveRoutingPolicy::hear(PeerReport word, double now) {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -593,8 +593,8 @@
   s.router_count = 2;
   Rig rig(s);
   CHECK(rig.serve(30, 0.05)[0] > 0);
-  CHECK(rig.brain.tell().size() == 60);  // each part sent, each call ended
-  CHECK(rig.brain.tell().empty());
+  CHECK(rig.brain.take_peer_reports().size() == 60);  // each part sent, each call ended
+  CHECK(rig.brain.take_peer_reports().empty());
   for (int i = 0; i < 5; ++i) rig.brain.hear({0, 0}, rig.now);
   auto q = rig.query(0, 6);
   for (const auto& send : rig.route(q).sends) CHECK(send.node != 0);
