--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -248,7 +248,7 @@
   virtual bool tick(double now) = 0;  // whether the list must be asked for
   virtual double tick_interval() const = 0;
   virtual std::vector<PeerReport> take_peer_reports() = 0;  // to all other routers: what there is to tell since the last call
-  virtual void hear(PeerReport word, double now) = 0;
+  virtual void on_peer_report(PeerReport word, double now) = 0;
   virtual void believe(std::span<const SiteShare> sites) = 0;  // by zone; empty: all are sound
 
   // Has what is passed over and what waits noted from now on, at most kMostJudged an answer.
@@ -273,7 +273,7 @@
   bool tick(double now) override;
   double tick_interval() const override;
   std::vector<PeerReport> take_peer_reports() override;
-  void hear(PeerReport word, double now) override;
+  void on_peer_report(PeerReport word, double now) override;
   void believe(std::span<const SiteShare> sites) override;
   void explain(bool on) override;
   std::span<const DecisionTraceEntry> judged() const override;
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -436,7 +436,7 @@
 std::vector<PeerReport> AdaptiveRoutingPolicy::take_peer_reports() {
   return std::exchange(s_->nodes.words, {});
 }
-void AdaptiveRoutingPolicy::hear(PeerReport word, double now) {
+void AdaptiveRoutingPolicy::on_peer_report(PeerReport word, double now) {
   s_->nodes.hear(word, now);
 }
 void AdaptiveRoutingPolicy::believe(std::span<const SiteShare> sites) {
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -44,7 +44,7 @@
     decisions_->remove_node(node);
     sites_.forget(node);
   }
-  void hear(PeerReport word, double now) { decisions_->hear(word, now); }
+  void on_peer_report(PeerReport word, double now) { decisions_->on_peer_report(word, now); }
   void on_node_list_failed(double now) { decisions_->on_node_list_failed(now); }
   bool tick(double now);
   Sites& sites() { return sites_; }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -595,16 +595,16 @@
   CHECK(rig.serve(30, 0.05)[0] > 0);
   CHECK(rig.brain.take_peer_reports().size() == 60);  // each part sent, each call ended
   CHECK(rig.brain.take_peer_reports().empty());
-  for (int i = 0; i < 5; ++i) rig.brain.hear({0, 0}, rig.now);
+  for (int i = 0; i < 5; ++i) rig.brain.on_peer_report({0, 0}, rig.now);
   auto q = rig.query(0, 6);
   for (const auto& send : rig.route(q).sends) CHECK(send.node != 0);
   rig.pass(0.05);
   for (int i = 0; i < 6; ++i) rig.settle(q, i, Outcome::success);
-  for (int i = 0; i < 5; ++i) rig.brain.hear({0, 0.05}, rig.now);
+  for (int i = 0; i < 5; ++i) rig.brain.on_peer_report({0, 0.05}, rig.now);
   CHECK(rig.serve(30, 0.05)[0] > 0);
-  rig.brain.hear({77, 0.05}, rig.now);  // a node that is not listed
+  rig.brain.on_peer_report({77, 0.05}, rig.now);  // a node that is not listed
   // A new process has nothing waiting that the old one had.
-  for (int i = 0; i < 5000; ++i) rig.brain.hear({0, 0}, rig.now);
+  for (int i = 0; i < 5000; ++i) rig.brain.on_peer_report({0, 0}, rig.now);
   rig.hosts[0].started_at = rig.now - 11;
   rig.brain.update_nodes(rig.hosts, false);
   auto fresh = rig.query(0, 9);
@@ -619,9 +619,9 @@
   s.router_count = 2;
   Rig rig(s);
   rig.pass(30);
-  for (int i = 0; i < 20; ++i) rig.brain.hear({0, 0.9}, rig.now);
-  for (int i = 0; i < 20; ++i) rig.brain.hear({1, 0.05}, rig.now);
-  for (int i = 0; i < 20; ++i) rig.brain.hear({2, 0.05}, rig.now);
+  for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({0, 0.9}, rig.now);
+  for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({1, 0.05}, rig.now);
+  for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({2, 0.05}, rig.now);
   CHECK(rig.serve(12, 0.05)[0] == 0);
   while (rig.brain.belief(1, rig.now) != NodeHealth::suspect) {
     auto q = rig.query(0, 1);
@@ -629,7 +629,7 @@
     rig.settle(q, 0, node == 1 ? Outcome::disconnected : Outcome::success);
     rig.pass(0.02);
   }
-  for (int i = 0; i < 20; ++i) rig.brain.hear({1, 0.01}, rig.now);
+  for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({1, 0.01}, rig.now);
   CHECK(rig.brain.belief(1, rig.now) == NodeHealth::suspect);
 }
 
