--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -249,7 +249,7 @@
   virtual double tick_interval() const = 0;
   virtual std::vector<PeerReport> take_peer_reports() = 0;  // to all other routers: what there is to tell since the last call
   virtual void on_peer_report(PeerReport word, double now) = 0;
-  virtual void believe(std::span<const SiteShare> sites) = 0;  // by zone; empty: all are sound
+  virtual void set_site_shares(std::span<const SiteShare> sites) = 0;  // by zone; empty: all are sound
 
   // Has what is passed over and what waits noted from now on, at most kMostJudged an answer.
   virtual void explain(bool on) = 0;
@@ -274,7 +274,7 @@
   double tick_interval() const override;
   std::vector<PeerReport> take_peer_reports() override;
   void on_peer_report(PeerReport word, double now) override;
-  void believe(std::span<const SiteShare> sites) override;
+  void set_site_shares(std::span<const SiteShare> sites) override;
   void explain(bool on) override;
   std::span<const DecisionTraceEntry> judged() const override;
   long long unjudged() const override;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -93,7 +93,7 @@
   double tick_interval() const override { return kPeriod; }
   std::vector<PeerReport> take_peer_reports() override { return {}; }
   void on_peer_report(PeerReport, double) override {}
-  void believe(std::span<const SiteShare>) override {}
+  void set_site_shares(std::span<const SiteShare>) override {}
   void explain(bool) override {}
   std::span<const DecisionTraceEntry> judged() const override { return {}; }
   long long unjudged() const override { return 0; }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -439,7 +439,7 @@
 void AdaptiveRoutingPolicy::on_peer_report(PeerReport word, double now) {
   s_->nodes.hear(word, now);
 }
-void AdaptiveRoutingPolicy::believe(std::span<const SiteShare> sites) {
+void AdaptiveRoutingPolicy::set_site_shares(std::span<const SiteShare> sites) {
   s_->nodes.believe(sites);
 }
 void AdaptiveRoutingPolicy::explain(bool on) {
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -16,7 +16,7 @@
 // What is believed of sites is told before the module is asked again: the same turn that brings the evidence
 // sends nothing more there.
 void Queries::believe() {
-  if (sites_.changed()) decisions_->believe(sites_.shares());
+  if (sites_.changed()) decisions_->set_site_shares(sites_.shares());
 }
 
 bool Queries::tick(double now) {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -995,7 +995,7 @@
   }
   void site_1(const SiteShare& what) {
     const SiteShare both[] = {{}, what};
-    brain.believe(both);
+    brain.set_site_shares(both);
   }
   int far(int many, int vertical = 0) {
     const auto sent = serve(many, 0.02, vertical);
@@ -1025,7 +1025,7 @@
   for (auto& host : town.hosts) host.up = host.zone == 1;
   town.brain.update_nodes(town.hosts, true);
   CHECK(town.far(20) == 20);
-  town.brain.believe({});
+  town.brain.set_site_shares({});
   for (auto& host : town.hosts) host.up = true;
   town.brain.update_nodes(town.hosts, true);
   CHECK(town.far(200) > quarter);
@@ -1093,6 +1093,6 @@
 TEST_CASE("no site is judged where nothing is believed, on the same random numbers") {
   Sites plain, told;
   const SiteShare sound[] = {{}, {}};
-  told.brain.believe(sound);
+  told.brain.set_site_shares(sound);
   CHECK(plain.serve(200, 0.03) == told.serve(200, 0.03));
 }
