--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -94,7 +94,7 @@
   std::vector<PeerReport> take_peer_reports() override { return {}; }
   void on_peer_report(PeerReport, double) override {}
   void set_site_shares(std::span<const SiteShare>) override {}
-  void explain(bool) override {}
+  void enable_trace(bool) override {}
   std::span<const DecisionTraceEntry> judged() const override { return {}; }
   long long unjudged() const override { return 0; }
   NodeHealth belief(int, double) const override { return NodeHealth::healthy; }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -442,7 +442,7 @@
 void AdaptiveRoutingPolicy::set_site_shares(std::span<const SiteShare> sites) {
   s_->nodes.believe(sites);
 }
-void AdaptiveRoutingPolicy::explain(bool on) {
+void AdaptiveRoutingPolicy::enable_trace(bool on) {
   s_->judged.enabled = on;
   s_->judged.entries.reserve(kMaxTraceEntries);
 }
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -53,7 +53,7 @@
   long long unjudged() const { return decisions_->unjudged(); }
   void witness(QueryObserver* witness) {  // is told of everything from now on; nullptr: nobody is
     witness_ = witness;
-    decisions_->explain(witness != nullptr);
+    decisions_->enable_trace(witness != nullptr);
   }
 
   bool holds(long long query) const { return held_.contains(query); }
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -894,7 +894,7 @@
 }
 TEST_CASE("each choice says why") {
   Rig rig;
-  rig.brain.explain(true);
+  rig.brain.enable_trace(true);
   const auto judged = [&](Reason reason) {
     for (const auto& j : rig.brain.judged())
       if (j.explanation.reason == reason) return j;
@@ -967,7 +967,7 @@
   auto s = settings();
   s.cell_count = s.cells_per_shard = 1;
   Rig rig(s, 700);
-  rig.brain.explain(true);
+  rig.brain.enable_trace(true);
   auto q = rig.query(0, 1);
   rig.route(q);
   CHECK(rig.brain.judged().size() == kMaxTraceEntries);
@@ -976,7 +976,7 @@
 
 TEST_CASE("a module that explains decides as one that does not") {
   Rig plain, told;
-  told.brain.explain(true);
+  told.brain.enable_trace(true);
   CHECK(plain.serve(200, 0.03) == told.serve(200, 0.03));
 }
 
