--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -95,7 +95,7 @@
   void on_peer_report(PeerReport, double) override {}
   void set_site_shares(std::span<const SiteShare>) override {}
   void enable_trace(bool) override {}
-  std::span<const DecisionTraceEntry> judged() const override { return {}; }
+  std::span<const DecisionTraceEntry> trace() const override { return {}; }
   long long unjudged() const override { return 0; }
   NodeHealth belief(int, double) const override { return NodeHealth::healthy; }
 
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -446,7 +446,7 @@
   s_->judged.enabled = on;
   s_->judged.entries.reserve(kMaxTraceEntries);
 }
-std::span<const DecisionTraceEntry> AdaptiveRoutingPolicy::judged() const {
+std::span<const DecisionTraceEntry> AdaptiveRoutingPolicy::trace() const {
   return s_->judged.entries;
 }
 long long AdaptiveRoutingPolicy::unjudged() const {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -896,7 +896,7 @@
   Rig rig;
   rig.brain.enable_trace(true);
   const auto judged = [&](Reason reason) {
-    for (const auto& j : rig.brain.judged())
+    for (const auto& j : rig.brain.trace())
       if (j.explanation.reason == reason) return j;
     return DecisionTraceEntry{kNone, kNone, kNone, {}};
   };
@@ -970,7 +970,7 @@
   rig.brain.enable_trace(true);
   auto q = rig.query(0, 1);
   rig.route(q);
-  CHECK(rig.brain.judged().size() == kMaxTraceEntries);
+  CHECK(rig.brain.trace().size() == kMaxTraceEntries);
   CHECK(rig.brain.unjudged() == 699 - static_cast<long long>(kMaxTraceEntries));
 }
 
