--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -254,7 +254,7 @@
   // Has what is passed over and what waits noted from now on, at most kMostJudged an answer.
   virtual void enable_trace(bool on) = 0;
   virtual std::span<const DecisionTraceEntry> trace() const = 0;  // of the last answer
-  virtual long long unjudged() const = 0;              // choices there was no room to note, since the start
+  virtual long long dropped_trace_entries() const = 0;              // choices there was no room to note, since the start
   virtual NodeHealth belief(int node, double now) const = 0;
 };
 
@@ -277,7 +277,7 @@
   void set_site_shares(std::span<const SiteShare> sites) override;
   void enable_trace(bool on) override;
   std::span<const DecisionTraceEntry> trace() const override;
-  long long unjudged() const override;
+  long long dropped_trace_entries() const override;
   NodeHealth belief(int node, double now) const override;
 
  private:
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -96,7 +96,7 @@
   void set_site_shares(std::span<const SiteShare>) override {}
   void enable_trace(bool) override {}
   std::span<const DecisionTraceEntry> trace() const override { return {}; }
-  long long unjudged() const override { return 0; }
+  long long dropped_trace_entries() const override { return 0; }
   NodeHealth belief(int, double) const override { return NodeHealth::healthy; }
 
  private:
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -449,7 +449,7 @@
 std::span<const DecisionTraceEntry> AdaptiveRoutingPolicy::trace() const {
   return s_->judged.entries;
 }
-long long AdaptiveRoutingPolicy::unjudged() const {
+long long AdaptiveRoutingPolicy::dropped_trace_entries() const {
   return s_->judged.dropped;
 }
 NodeHealth AdaptiveRoutingPolicy::belief(int number, double now) const {
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -50,7 +50,7 @@
   Sites& sites() { return sites_; }
   double tick_interval() const { return decisions_->tick_interval(); }
   NodeHealth belief(int node, double now) const { return decisions_->belief(node, now); }
-  long long unjudged() const { return decisions_->unjudged(); }
+  long long dropped_trace_entries() const { return decisions_->dropped_trace_entries(); }
   void witness(QueryObserver* witness) {  // is told of everything from now on; nullptr: nobody is
     witness_ = witness;
     decisions_->enable_trace(witness != nullptr);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -346,7 +346,7 @@
                       0, at);
     before = now_at;
   };
-  bound(Bound::judged, queries_.unjudged(), unjudged_);
+  bound(Bound::judged, queries_.dropped_trace_entries(), unjudged_);
   bound(Bound::log, log_.lost(), lines_lost_);
   for (const auto& [id, node] : nodes_) recorder_->believed(node, queries_.belief(node, at), at);
   if (segments_ && segments_->failures() > disk_failures_) {
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -971,7 +971,7 @@
   auto q = rig.query(0, 1);
   rig.route(q);
   CHECK(rig.brain.trace().size() == kMaxTraceEntries);
-  CHECK(rig.brain.unjudged() == 699 - static_cast<long long>(kMaxTraceEntries));
+  CHECK(rig.brain.dropped_trace_entries() == 699 - static_cast<long long>(kMaxTraceEntries));
 }
 
 TEST_CASE("a module that explains decides as one that does not") {
