--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -255,7 +255,7 @@
   virtual void enable_trace(bool on) = 0;
   virtual std::span<const DecisionTraceEntry> trace() const = 0;  // of the last answer
   virtual long long dropped_trace_entries() const = 0;              // choices there was no room to note, since the start
-  virtual NodeHealth belief(int node, double now) const = 0;
+  virtual NodeHealth node_health(int node, double now) const = 0;
 };
 
 class AdaptiveRoutingPolicy final : public RoutingPolicy {
@@ -278,7 +278,7 @@
   void enable_trace(bool on) override;
   std::span<const DecisionTraceEntry> trace() const override;
   long long dropped_trace_entries() const override;
-  NodeHealth belief(int node, double now) const override;
+  NodeHealth node_health(int node, double now) const override;
 
  private:
   struct State;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -97,7 +97,7 @@
   void enable_trace(bool) override {}
   std::span<const DecisionTraceEntry> trace() const override { return {}; }
   long long dropped_trace_entries() const override { return 0; }
-  NodeHealth belief(int, double) const override { return NodeHealth::healthy; }
+  NodeHealth node_health(int, double) const override { return NodeHealth::healthy; }
 
  private:
   bool breaks(Design::Broken rule) const { return design_.broken == rule; }
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -452,7 +452,7 @@
 long long AdaptiveRoutingPolicy::dropped_trace_entries() const {
   return s_->judged.dropped;
 }
-NodeHealth AdaptiveRoutingPolicy::belief(int number, double now) const {
+NodeHealth AdaptiveRoutingPolicy::node_health(int number, double now) const {
   const auto& nodes = s_->nodes;
   if (static_cast<std::size_t>(number) >= nodes.all.size()) return NodeHealth::unknown;
   const auto& node = nodes.all[static_cast<std::size_t>(number)];
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -49,7 +49,7 @@
   bool tick(double now);
   Sites& sites() { return sites_; }
   double tick_interval() const { return decisions_->tick_interval(); }
-  NodeHealth belief(int node, double now) const { return decisions_->belief(node, now); }
+  NodeHealth node_health(int node, double now) const { return decisions_->node_health(node, now); }
   long long dropped_trace_entries() const { return decisions_->dropped_trace_entries(); }
   void witness(QueryObserver* witness) {  // is told of everything from now on; nullptr: nobody is
     witness_ = witness;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -348,7 +348,7 @@
   };
   bound(Bound::judged, queries_.dropped_trace_entries(), unjudged_);
   bound(Bound::log, log_.lost(), lines_lost_);
-  for (const auto& [id, node] : nodes_) recorder_->believed(node, queries_.belief(node, at), at);
+  for (const auto& [id, node] : nodes_) recorder_->believed(node, queries_.node_health(node, at), at);
   if (segments_ && segments_->failures() > disk_failures_) {
     disk_failures_ = segments_->failures();
     log_.line("segment_failed", "why=\"{}\" folder=\"{}\"", segments_->trouble(),
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -623,14 +623,14 @@
   for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({1, 0.05}, rig.now);
   for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({2, 0.05}, rig.now);
   CHECK(rig.serve(12, 0.05)[0] == 0);
-  while (rig.brain.belief(1, rig.now) != NodeHealth::suspect) {
+  while (rig.brain.node_health(1, rig.now) != NodeHealth::suspect) {
     auto q = rig.query(0, 1);
     const auto node = rig.route(q).sends[0].node;
     rig.settle(q, 0, node == 1 ? Outcome::disconnected : Outcome::success);
     rig.pass(0.02);
   }
   for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({1, 0.01}, rig.now);
-  CHECK(rig.brain.belief(1, rig.now) == NodeHealth::suspect);
+  CHECK(rig.brain.node_health(1, rig.now) == NodeHealth::suspect);
 }
 
 TEST_CASE("rule 5: merged whole only if whole, in part only from the least share") {
@@ -945,8 +945,8 @@
   rig.hosts[0].up = false;
   rig.hosts[1].started_at = rig.now;
   rig.brain.update_nodes(rig.hosts, true);
-  CHECK(rig.brain.belief(1, rig.now) == NodeHealth::slow_start);
-  CHECK(rig.brain.belief(2, rig.now) == NodeHealth::healthy);
+  CHECK(rig.brain.node_health(1, rig.now) == NodeHealth::slow_start);
+  CHECK(rig.brain.node_health(2, rig.now) == NodeHealth::healthy);
   rig.pass(0.01);
   for (int i = 0; i < 8 && judged(Reason::slow_start).leaf == kNone; ++i) {
     auto more = rig.query(0, 1);
@@ -958,7 +958,7 @@
 
   rig.pass(3);
   CHECK(
-      (rig.brain.belief(2, rig.now) == NodeHealth::suspect || rig.brain.belief(2, rig.now) == NodeHealth::probing));
+      (rig.brain.node_health(2, rig.now) == NodeHealth::suspect || rig.brain.node_health(2, rig.now) == NodeHealth::probing));
   auto hopeless = rig.query(0, 1);
   CHECK(rig.route(hopeless).explanation.reason == Reason::too_few_reachable);
 }
@@ -1083,11 +1083,11 @@
     }
     town.pass(0.05);
   }
-  REQUIRE(town.brain.belief(4, town.now) == NodeHealth::suspect);
+  REQUIRE(town.brain.node_health(4, town.now) == NodeHealth::suspect);
   town.site_1({true, false, 0, town.now});
   town.pass(1);
   town.site_1({false, false, 0.25, town.now});
-  for (const int node : {3, 4, 5}) CHECK(town.brain.belief(node, town.now) == NodeHealth::unknown);
+  for (const int node : {3, 4, 5}) CHECK(town.brain.node_health(node, town.now) == NodeHealth::unknown);
 }
 
 TEST_CASE("no site is judged where nothing is believed, on the same random numbers") {
