--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -40,7 +40,7 @@
     decisions_->update_nodes(hosts, complete, told);
     sites_.list(hosts, complete, now);
   }
-  void forget_node(int node) {
+  void remove_node(int node) {
     decisions_->remove_node(node);
     sites_.forget(node);
   }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -795,7 +795,7 @@
   if (!news_.empty()) return;  // their queries have not been told of it yet
   std::erase_if(leaving_, [this](const auto& gone) {
     if (pool_.holds(gone.second)) return false;
-    queries_.forget_node(gone.second);
+    queries_.remove_node(gone.second);
     if (recorder_) recorder_->forgotten(gone.second, now());
     spare_.push_back(gone.second);
     node_ages_.left(gone.first);
