--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -51,7 +51,7 @@
   double tick_interval() const { return decisions_->tick_interval(); }
   NodeHealth node_health(int node, double now) const { return decisions_->node_health(node, now); }
   long long dropped_trace_entries() const { return decisions_->dropped_trace_entries(); }
-  void witness(QueryObserver* witness) {  // is told of everything from now on; nullptr: nobody is
+  void set_observer(QueryObserver* witness) {  // is told of everything from now on; nullptr: nobody is
     witness_ = witness;
     decisions_->enable_trace(witness != nullptr);
   }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -269,7 +269,7 @@
                                      evacuated_until_.told(WallTime{sites.until}, WallTime::now(), began),
                                      next_tick_ <= 0}));
   if (!operators.timeline.on) {
-    queries_.witness(nullptr);
+    queries_.set_observer(nullptr);
     recorder_.reset();
     segments_.reset();
     return;
@@ -280,7 +280,7 @@
     recorder_ = std::make_unique<Recorder>(budget, departure_limits(operators, config_.settings),
                                            operators.departures.on,
                                            static_cast<int>(config_.verticals.size()), began, unix_at_zero());
-    queries_.witness(recorder_.get());
+    queries_.set_observer(recorder_.get());
     versions_at_ = 0;
   }
   if (same_segments) return;
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -186,7 +186,7 @@
     double now = 50;
     Queries queries(test::settings(), chance(), now, due, actions);
     Recorder recorder({4 << 20, 0.5, 16}, {}, true, 3, now, 0);
-    queries.witness(&recorder);
+    queries.set_observer(&recorder);
     std::vector<DiscoveredNode> hosts;
     for (int i = 0; i < 5; ++i) {
       hosts.push_back({i, 0, i % 3, true, 0});
