--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -56,7 +56,7 @@
     decisions_->enable_trace(witness != nullptr);
   }
 
-  bool holds(long long query) const { return held_.contains(query); }
+  bool contains(long long query) const { return held_.contains(query); }
   void take(long long query, Query start, double now);
   int take_part(long long query, Leaf leaf, double now);  // its place among the parts; kNone: not wanted
   void outcome(long long query, int leaf, int call, Outcome outcome, double score, double now);
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -85,7 +85,7 @@
     ids_[ask].leaves.push_back(id);
     return;
   }
-  if (queries_.holds(ask)) throw Malformed("ask_no: that query is held already");
+  if (queries_.contains(ask)) throw Malformed("ask_no: that query is held already");
   Query q;
   q.vertical = vertical;
   q.customer = customer;
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -117,11 +117,11 @@
   CHECK(desk.said.empty());
   desk.queries.outcome(1, 0, 7, Outcome::success, 0, desk.now);  // no such call
   desk.queries.finish(desk.now);
-  CHECK(desk.queries.holds(1));
+  CHECK(desk.queries.contains(1));
   for (int i = 0; i < 2; ++i) desk.queries.outcome(1, 0, 0, Outcome::success, 0, desk.now);
   desk.queries.finish(desk.now);
   CHECK(desk.said == "forget ");
-  CHECK(!desk.queries.holds(1));
+  CHECK(!desk.queries.contains(1));
 }
 
 TEST_CASE("a query that there is no room for is rejected by the module, whatever its effect") {
