--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -125,7 +125,7 @@
     q.deadline = now() + request.left;
     q.work_hint = request.work * static_cast<double>(request.shards.size());
     if (parts_ > days::kMostOpen) q.forced_rejection = Reason::too_many_pending;
-    queries_->take(query, std::move(q), now());
+    queries_->add_query(query, std::move(q), now());
     for (const auto shard : request.shards)
       queries_->take_part(
           query, {shard, 1.0 / static_cast<double>(request.shards.size()), request.work, 1, false, {}},
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -25,7 +25,7 @@
   return decisions_->tick(now);
 }
 
-void Queries::take(long long number, Query start, double now) {
+void Queries::add_query(long long number, Query start, double now) {
   decisions_->on_requests_received(1, now);
   auto held = std::make_unique<Held>();
   held->query = std::move(start);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -584,7 +584,7 @@
       recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::queries), open_,
                       config_.bounds.max_open, at);
   }
-  queries_.take(number, std::move(q), at);
+  queries_.add_query(number, std::move(q), at);
   for (const auto& target : ask.targets) {
     queries_.take_part(number, {target.shard, target.share, target.work, 1, false, {}}, at);
     held.parts.push_back({ask.id + "." + std::to_string(target.shard), target.shard, false, {}});
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -94,7 +94,7 @@
   q.client_retry = (marks & 2) != 0;
   asks_[id] = ask;
   ids_[ask].query = id;
-  queries_.take(ask, std::move(q), now);
+  queries_.add_query(ask, std::move(q), now);
 }
 
 void Instance::on_response(Fields& fields, double now) {
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -24,7 +24,7 @@
     Query q;
     q.vertical = vertical;
     q.deadline = now + 4;
-    queries.take(number, q, now);
+    queries.add_query(number, q, now);
     for (int i = 0; i < parts; ++i) queries.take_part(number, {i, 1.0 / parts, 0, 1, false, {}}, now);
     queries.finish(now);
   }
@@ -131,7 +131,7 @@
     q.vertical = vertical;
     q.deadline = desk.now + 4;
     q.forced_rejection = Reason::too_many_pending;
-    desk.queries.take(1, q, desk.now);
+    desk.queries.add_query(1, q, desk.now);
     desk.queries.take_part(1, {0, 1, 0, 1, false, {}}, desk.now);
     desk.queries.finish(desk.now);
     CHECK(desk.said == "reject forget ");
@@ -207,7 +207,7 @@
       Query q;
       q.vertical = vertical;
       q.deadline = static_cast<double>(clock + 1500000) / 1e6;
-      queries.take(turn, q, at);
+      queries.add_query(turn, q, at);
       text += fmt::format("demand router-0 {} {} - - {} - {} -1 {} 0\n", turn * 10 + 9, verticals[vertical],
                           clock + 1500000, turn, parts);
       for (int i = 0; i < parts; ++i) {
