--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -127,7 +127,7 @@
     if (parts_ > days::kMostOpen) q.forced_rejection = Reason::too_many_pending;
     queries_->add_query(query, std::move(q), now());
     for (const auto shard : request.shards)
-      queries_->take_part(
+      queries_->add_part(
           query, {shard, 1.0 / static_cast<double>(request.shards.size()), request.work, 1, false, {}},
           now());
   });
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -35,7 +35,7 @@
   held_[number] = std::move(held);
 }
 
-int Queries::take_part(long long number, Leaf leaf, double now) {
+int Queries::add_part(long long number, Leaf leaf, double now) {
   decisions_->on_requests_received(1, now);
   const auto at = held_.find(number);
   if (at == held_.end() || at->second->query.ended) return kNone;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -586,7 +586,7 @@
   }
   queries_.add_query(number, std::move(q), at);
   for (const auto& target : ask.targets) {
-    queries_.take_part(number, {target.shard, target.share, target.work, 1, false, {}}, at);
+    queries_.add_part(number, {target.shard, target.share, target.work, 1, false, {}}, at);
     held.parts.push_back({ask.id + "." + std::to_string(target.shard), target.shard, false, {}});
     ++open_;
   }
@@ -702,7 +702,7 @@
   for (const auto leaf : chosen) {
     const auto shard = held.parts[static_cast<std::size_t>(leaf)].shard;
     const auto weight = 1.0 / static_cast<double>(chosen.size());
-    queries_.take_part(query, {shard, weight, 0, 2, false, {}}, at);
+    queries_.add_part(query, {shard, weight, 0, 2, false, {}}, at);
     held.parts.push_back({fmt::format("{}.{}.p2", held.id, shard), shard, false, {}});
     ++open_;
   }
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -79,7 +79,7 @@
   const auto marks = fields.integer("marks");
   const auto hint = (marks & 1) != 0 && work > 0 ? work : 0;
   if (shard >= 0) {
-    const auto leaf = queries_.take_part(ask, {shard, measure, hint, 1, false, {}}, now);
+    const auto leaf = queries_.add_part(ask, {shard, measure, hint, 1, false, {}}, now);
     if (leaf == kNone) return;
     leaves_[id] = {ask, leaf};
     ids_[ask].leaves.push_back(id);
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -25,7 +25,7 @@
     q.vertical = vertical;
     q.deadline = now + 4;
     queries.add_query(number, q, now);
-    for (int i = 0; i < parts; ++i) queries.take_part(number, {i, 1.0 / parts, 0, 1, false, {}}, now);
+    for (int i = 0; i < parts; ++i) queries.add_part(number, {i, 1.0 / parts, 0, 1, false, {}}, now);
     queries.finish(now);
   }
   // Other queries, so that a tenth of the parts sent is enough for a copy.
@@ -101,7 +101,7 @@
   REQUIRE(desk.queries.awaits_parts(1));
   CHECK(desk.queries.second_step(1) == std::vector<int>{1, 2});
   for (const int shard : {1, 2})
-    CHECK(desk.queries.take_part(1, {shard, 0.5, 0, 2, false, {}}, desk.now) >= 3);
+    CHECK(desk.queries.add_part(1, {shard, 0.5, 0, 2, false, {}}, desk.now) >= 3);
   desk.queries.finish(desk.now);
   CHECK(!desk.queries.awaits_parts(1));
   for (const int leaf : {3, 4}) desk.queries.outcome(1, leaf, 0, Outcome::success, 1, desk.now);
@@ -132,7 +132,7 @@
     q.deadline = desk.now + 4;
     q.forced_rejection = Reason::too_many_pending;
     desk.queries.add_query(1, q, desk.now);
-    desk.queries.take_part(1, {0, 1, 0, 1, false, {}}, desk.now);
+    desk.queries.add_part(1, {0, 1, 0, 1, false, {}}, desk.now);
     desk.queries.finish(desk.now);
     CHECK(desk.said == "reject forget ");
     CHECK(desk.sends.empty());
@@ -211,7 +211,7 @@
       text += fmt::format("demand router-0 {} {} - - {} - {} -1 {} 0\n", turn * 10 + 9, verticals[vertical],
                           clock + 1500000, turn, parts);
       for (int i = 0; i < parts; ++i) {
-        queries.take_part(turn, {i, 1.0 / parts, 0, 1, false, {}}, at);
+        queries.add_part(turn, {i, 1.0 / parts, 0, 1, false, {}}, at);
         text += fmt::format("demand router-0 {} {} - - {} - {} {} {} 0\n", turn * 10 + i, verticals[vertical],
                             clock + 1500000, turn, i, 1.0 / parts);
       }
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -199,7 +199,7 @@
       q.vertical = static_cast<int>(chance() % 3);
       q.deadline = now + 2;
       queries.add_query(number, q, now);
-      for (int i = 0; i < 3; ++i) queries.take_part(number, {i, 1.0 / 3, 0, 1, false, {}}, now);
+      for (int i = 0; i < 3; ++i) queries.add_part(number, {i, 1.0 / 3, 0, 1, false, {}}, now);
       while (!actions.calls.empty() && chance() % 4 != 0) {
         const auto which = chance() % actions.calls.size();
         const auto [query, leaf, call, node] = actions.calls[which];
