--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -91,7 +91,7 @@
   queries_->finish(now());
   while (!news_.empty()) {
     for (const auto& news : std::exchange(news_, {}))
-      queries_->outcome(news.query, news.leaf, news.call, news.outcome, 0, now());
+      queries_->on_outcome(news.query, news.leaf, news.call, news.outcome, 0, now());
     queries_->finish(now());
   }
   for (const auto& news : queries_->sites().news()) world_.believes(*this, news);
@@ -168,7 +168,7 @@
     if (!drop(query, leaf, call, flight)) return;
     auto& held = held_.at(query);
     if (outcome == Outcome::success) held.in[static_cast<std::size_t>(leaf)] = true;
-    queries_->outcome(query, leaf, call, outcome, 0, now());
+    queries_->on_outcome(query, leaf, call, outcome, 0, now());
   });
 }
 
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -48,7 +48,7 @@
   return static_cast<int>(held.query.leaves.size()) - 1;
 }
 
-void Queries::outcome(long long number, int leaf, int call_number, Outcome outcome, double score,
+void Queries::on_outcome(long long number, int leaf, int call_number, Outcome outcome, double score,
                       double now) {
   const auto at = held_.find(number);
   if (at == held_.end()) return;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -493,7 +493,7 @@
     if (held == held_.end()) continue;
     --calls_out_;
     if (news.outcome == Outcome::success) keep(held->second, news.ref.leaf, std::move(news.value));
-    queries_.outcome(news.ref.query, news.ref.leaf, news.ref.call, news.outcome, news.score, at);
+    queries_.on_outcome(news.ref.query, news.ref.leaf, news.ref.call, news.outcome, news.score, at);
   }
   queries_.finish(at);
   if (!merged_first_.empty()) {
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -106,7 +106,7 @@
   fields.word("final");
   const auto at = leaves_.find(id);
   if (at == leaves_.end() || number < 0 || number > std::numeric_limits<int>::max()) return;
-  queries_.outcome(at->second.first, at->second.second, static_cast<int>(number), verdict, 0, now);
+  queries_.on_outcome(at->second.first, at->second.second, static_cast<int>(number), verdict, 0, now);
 }
 
 // Words for the other routers: three bytes that stand for the node, whose id is the same at all routers, and
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -32,7 +32,7 @@
   void serve(int many) {
     for (int i = 2; i < 2 + many; ++i) {
       take(1, 1, i);
-      queries.outcome(i, 0, 0, Outcome::success, 0, now);
+      queries.on_outcome(i, 0, 0, Outcome::success, 0, now);
       queries.finish(now);
     }
     sends.clear();
@@ -89,13 +89,13 @@
   Desk desk(s);
   desk.serve(20);
   desk.take(0, 3);
-  desk.queries.outcome(1, 0, 0, Outcome::success, 5, desk.now);
-  desk.queries.outcome(1, 1, 0, Outcome::success, 9, desk.now);
+  desk.queries.on_outcome(1, 0, 0, Outcome::success, 5, desk.now);
+  desk.queries.on_outcome(1, 1, 0, Outcome::success, 9, desk.now);
   desk.pass(1);  // the last part is copied, and the copy loses
   REQUIRE(desk.sends.size() == 4);
-  desk.queries.outcome(1, 2, 0, Outcome::success, 8, desk.now);
+  desk.queries.on_outcome(1, 2, 0, Outcome::success, 8, desk.now);
   CHECK(desk.cancels == std::vector<std::pair<int, int>>{{2, 1}});
-  desk.queries.outcome(1, 2, 1, Outcome::cancelled, 0, desk.now);
+  desk.queries.on_outcome(1, 2, 1, Outcome::cancelled, 0, desk.now);
   desk.queries.finish(desk.now);
   CHECK(desk.said == "whole ");
   REQUIRE(desk.queries.awaits_parts(1));
@@ -104,7 +104,7 @@
     CHECK(desk.queries.add_part(1, {shard, 0.5, 0, 2, false, {}}, desk.now) >= 3);
   desk.queries.finish(desk.now);
   CHECK(!desk.queries.awaits_parts(1));
-  for (const int leaf : {3, 4}) desk.queries.outcome(1, leaf, 0, Outcome::success, 1, desk.now);
+  for (const int leaf : {3, 4}) desk.queries.on_outcome(1, leaf, 0, Outcome::success, 1, desk.now);
   desk.queries.finish(desk.now);
   CHECK(desk.said == "whole whole forget ");
 }
@@ -115,10 +115,10 @@
   desk.queries.gone(1);
   desk.queries.finish(desk.now);
   CHECK(desk.said.empty());
-  desk.queries.outcome(1, 0, 7, Outcome::success, 0, desk.now);  // no such call
+  desk.queries.on_outcome(1, 0, 7, Outcome::success, 0, desk.now);  // no such call
   desk.queries.finish(desk.now);
   CHECK(desk.queries.contains(1));
-  for (int i = 0; i < 2; ++i) desk.queries.outcome(1, 0, 0, Outcome::success, 0, desk.now);
+  for (int i = 0; i < 2; ++i) desk.queries.on_outcome(1, 0, 0, Outcome::success, 0, desk.now);
   desk.queries.finish(desk.now);
   CHECK(desk.said == "forget ");
   CHECK(!desk.queries.contains(1));
@@ -222,7 +222,7 @@
       if (call.node == turn / 40 % 4) continue;
       text += fmt::format("response router-0 {} {} {} {} 1 1 -\n", call.query * 10 + call.leaf, call.call,
                           call.node, verdict);
-      queries.outcome(call.query, call.leaf, call.call, wire::outcome(verdict), 0, at);
+      queries.on_outcome(call.query, call.leaf, call.call, wire::outcome(verdict), 0, at);
     }
     if (turn % 50 == 0) {
       text += fmt::format("gone router-0 {}\n", (turn - turn % 3) * 10 + 9);
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -205,7 +205,7 @@
         const auto [query, leaf, call, node] = actions.calls[which];
         actions.calls.erase(actions.calls.begin() + static_cast<std::ptrdiff_t>(which));
         --actions.out[node];
-        queries.outcome(query, leaf, call, static_cast<Outcome>(1 + chance() % 9), 0, now);
+        queries.on_outcome(query, leaf, call, static_cast<Outcome>(1 + chance() % 9), 0, now);
       }
       queries.tick(now);
       queries.finish(now);
