--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -135,7 +135,7 @@
 
 void Process::gone(long long request) {
   take([this, request] {
-    if (const auto at = by_request_.find(request); at != by_request_.end()) queries_->gone(at->second);
+    if (const auto at = by_request_.find(request); at != by_request_.end()) queries_->abandon(at->second);
   });
 }
 
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -71,7 +71,7 @@
   touch(number, held);
 }
 
-void Queries::gone(long long number) {
+void Queries::abandon(long long number) {
   if (const auto at = held_.find(number); at != held_.end()) end(number, *at->second);
 }
 
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -60,7 +60,7 @@
   void add_query(long long query, Query start, double now);
   int add_part(long long query, Leaf leaf, double now);  // its place among the parts; kNone: not wanted
   void on_outcome(long long query, int leaf, int call, Outcome outcome, double score, double now);
-  void gone(long long query);
+  void abandon(long long query);
   void finish(
       double now);  // asks the module for all that has changed; due times that have come are run first
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -598,7 +598,7 @@
   if (at == by_client_.end()) return;
   ++figures_.left;
   const auto query = at->second;
-  queries_.gone(query);
+  queries_.abandon(query);
   done_with(query);
   wake();
 }
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -139,7 +139,7 @@
 
 void Instance::on_gone(Fields& fields) {
   const auto at = asks_.find(fields.integer("xid"));
-  if (at != asks_.end()) queries_.gone(at->second);
+  if (at != asks_.end()) queries_.abandon(at->second);
 }
 
 void Instance::on_reminder(std::string_view token, double now) {
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -112,7 +112,7 @@
 TEST_CASE("an outcome counts once, and a query is kept until each of its calls has one") {
   Desk desk;
   desk.take(0, 1);
-  desk.queries.gone(1);
+  desk.queries.abandon(1);
   desk.queries.finish(desk.now);
   CHECK(desk.said.empty());
   desk.queries.on_outcome(1, 0, 7, Outcome::success, 0, desk.now);  // no such call
@@ -226,7 +226,7 @@
     }
     if (turn % 50 == 0) {
       text += fmt::format("gone router-0 {}\n", (turn - turn % 3) * 10 + 9);
-      queries.gone(turn - turn % 3);
+      queries.abandon(turn - turn % 3);
     }
     text += "reminder router-0 due\ngo\n";
     queries.finish(at);
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -209,7 +209,7 @@
       }
       queries.tick(now);
       queries.finish(now);
-      if (chance() % 30 == 0) queries.gone(number);
+      if (chance() % 30 == 0) queries.abandon(number);
       recorder.tick(now, 0);
       for (const auto& line : recorder.timeline().lines()) {
         if (line.id <= kLoop) continue;
