--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -88,11 +88,11 @@
 
 // All that has come in is told to the queries, and what they want is done; what that brings at once, too.
 void Process::turn() {
-  queries_->finish(now());
+  queries_->process_changes(now());
   while (!news_.empty()) {
     for (const auto& news : std::exchange(news_, {}))
       queries_->on_outcome(news.query, news.leaf, news.call, news.outcome, 0, now());
-    queries_->finish(now());
+    queries_->process_changes(now());
   }
   for (const auto& news : queries_->sites().news()) world_.believes(*this, news);
   arm();
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -140,7 +140,7 @@
   touch(number, held);
 }
 
-void Queries::finish(double now) {
+void Queries::process_changes(double now) {
   due_.run(now);
   for (std::size_t i = 0; i < touched_.size(); ++i) {
     const auto number = touched_[i];
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -61,7 +61,7 @@
   int add_part(long long query, Leaf leaf, double now);  // its place among the parts; kNone: not wanted
   void on_outcome(long long query, int leaf, int call, Outcome outcome, double score, double now);
   void abandon(long long query);
-  void finish(
+  void process_changes(
       double now);  // asks the module for all that has changed; due times that have come are run first
 
   // The parts whose shards a second step goes to: the highest scores among those that are in.
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -495,10 +495,10 @@
     if (news.outcome == Outcome::success) keep(held->second, news.ref.leaf, std::move(news.value));
     queries_.on_outcome(news.ref.query, news.ref.leaf, news.ref.call, news.outcome, news.score, at);
   }
-  queries_.finish(at);
+  queries_.process_changes(at);
   if (!merged_first_.empty()) {
     for (const auto query : std::exchange(merged_first_, {})) take_second_step(query, at);
-    queries_.finish(at);
+    queries_.process_changes(at);
   }
   pool_.flush();
   wind_up(at);
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -26,14 +26,14 @@
     q.deadline = now + 4;
     queries.add_query(number, q, now);
     for (int i = 0; i < parts; ++i) queries.add_part(number, {i, 1.0 / parts, 0, 1, false, {}}, now);
-    queries.finish(now);
+    queries.process_changes(now);
   }
   // Other queries, so that a tenth of the parts sent is enough for a copy.
   void serve(int many) {
     for (int i = 2; i < 2 + many; ++i) {
       take(1, 1, i);
       queries.on_outcome(i, 0, 0, Outcome::success, 0, now);
-      queries.finish(now);
+      queries.process_changes(now);
     }
     sends.clear();
     said.clear();
@@ -42,7 +42,7 @@
     for (const auto end = now + seconds; now < end - 1e-9;) {
       now = std::min(end, now + queries.tick_interval());
       queries.tick(now);
-      queries.finish(now);
+      queries.process_changes(now);
     }
   }
 
@@ -96,16 +96,16 @@
   desk.queries.on_outcome(1, 2, 0, Outcome::success, 8, desk.now);
   CHECK(desk.cancels == std::vector<std::pair<int, int>>{{2, 1}});
   desk.queries.on_outcome(1, 2, 1, Outcome::cancelled, 0, desk.now);
-  desk.queries.finish(desk.now);
+  desk.queries.process_changes(desk.now);
   CHECK(desk.said == "whole ");
   REQUIRE(desk.queries.awaits_parts(1));
   CHECK(desk.queries.second_step(1) == std::vector<int>{1, 2});
   for (const int shard : {1, 2})
     CHECK(desk.queries.add_part(1, {shard, 0.5, 0, 2, false, {}}, desk.now) >= 3);
-  desk.queries.finish(desk.now);
+  desk.queries.process_changes(desk.now);
   CHECK(!desk.queries.awaits_parts(1));
   for (const int leaf : {3, 4}) desk.queries.on_outcome(1, leaf, 0, Outcome::success, 1, desk.now);
-  desk.queries.finish(desk.now);
+  desk.queries.process_changes(desk.now);
   CHECK(desk.said == "whole whole forget ");
 }
 
@@ -113,13 +113,13 @@
   Desk desk;
   desk.take(0, 1);
   desk.queries.abandon(1);
-  desk.queries.finish(desk.now);
+  desk.queries.process_changes(desk.now);
   CHECK(desk.said.empty());
   desk.queries.on_outcome(1, 0, 7, Outcome::success, 0, desk.now);  // no such call
-  desk.queries.finish(desk.now);
+  desk.queries.process_changes(desk.now);
   CHECK(desk.queries.contains(1));
   for (int i = 0; i < 2; ++i) desk.queries.on_outcome(1, 0, 0, Outcome::success, 0, desk.now);
-  desk.queries.finish(desk.now);
+  desk.queries.process_changes(desk.now);
   CHECK(desk.said == "forget ");
   CHECK(!desk.queries.contains(1));
 }
@@ -133,7 +133,7 @@
     q.forced_rejection = Reason::too_many_pending;
     desk.queries.add_query(1, q, desk.now);
     desk.queries.add_part(1, {0, 1, 0, 1, false, {}}, desk.now);
-    desk.queries.finish(desk.now);
+    desk.queries.process_changes(desk.now);
     CHECK(desk.said == "reject forget ");
     CHECK(desk.sends.empty());
   }
@@ -192,7 +192,7 @@
   std::string text = "frame 1000000 1\nopen_instance router-0 77 " + setup +
                      "\ninventory 0 3\nnode 0 a k 0 U 1 -\nnode 1 a k 1 U 1 -\nnode 2 b k 2 U 1 -\n"
                      "membership router-0 warm_copy 0 1\ngo\n";
-  queries.finish(1);
+  queries.process_changes(1);
   for (int turn = 1; turn <= 1200; ++turn) {
     const long long clock = 1000000 + 25000LL * turn;
     const auto at = static_cast<double>(clock) / 1e6;
@@ -229,7 +229,7 @@
       queries.abandon(turn - turn % 3);
     }
     text += "reminder router-0 due\ngo\n";
-    queries.finish(at);
+    queries.process_changes(at);
   }
   std::istringstream in(text);
   std::ostringstream out, log;
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -208,7 +208,7 @@
         queries.on_outcome(query, leaf, call, static_cast<Outcome>(1 + chance() % 9), 0, now);
       }
       queries.tick(now);
-      queries.finish(now);
+      queries.process_changes(now);
       if (chance() % 30 == 0) queries.abandon(number);
       recorder.tick(now, 0);
       for (const auto& line : recorder.timeline().lines()) {
