--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -122,7 +122,7 @@
          at->second->query.parts_expected > 0;
 }
 
-std::vector<int> Queries::second_step(long long number) const {
+std::vector<int> Queries::second_step_leaves(long long number) const {
   const auto& held = *held_.at(number);
   std::vector<int> in;
   for (std::size_t i = 0; i < held.query.leaves.size(); ++i)
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -65,7 +65,7 @@
       double now);  // asks the module for all that has changed; due times that have come are run first
 
   // The parts whose shards a second step goes to: the highest scores among those that are in.
-  std::vector<int> second_step(long long query) const;
+  std::vector<int> second_step_leaves(long long query) const;
   bool awaits_parts(long long query) const;
 
  private:
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -691,7 +691,7 @@
 void Router::take_second_step(long long query, double at) {
   if (!queries_.awaits_parts(query)) return;
   auto& held = held_.at(query);
-  const auto chosen = queries_.second_step(query);
+  const auto chosen = queries_.second_step_leaves(query);
   std::string from;
   for (const auto& part : held.parts)
     if (part.in) from += fmt::format("{}{}", from.empty() ? "" : "+", part.shard);
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -99,7 +99,7 @@
   desk.queries.process_changes(desk.now);
   CHECK(desk.said == "whole ");
   REQUIRE(desk.queries.awaits_parts(1));
-  CHECK(desk.queries.second_step(1) == std::vector<int>{1, 2});
+  CHECK(desk.queries.second_step_leaves(1) == std::vector<int>{1, 2});
   for (const int shard : {1, 2})
     CHECK(desk.queries.add_part(1, {shard, 0.5, 0, 2, false, {}}, desk.now) >= 3);
   desk.queries.process_changes(desk.now);
