--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -245,7 +245,7 @@
   answer(query, 500, 0, why, false);
 }
 
-void Process::forget(long long query) {
+void Process::release(long long query) {
   const auto at = held_.find(query);
   if (at == held_.end()) return;
   parts_ -= std::min(parts_, at->second.shards.size() + 1);
--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -96,7 +96,7 @@
   void merge(long long query, bool whole) override;
   void reject(long long query, double stay_away, const Explanation& why) override;
   void abort(long long query, const Explanation& why) override;
-  void forget(long long query) override;
+  void release(long long query) override;
   void ended(int vertical, const Call& call) override;
 
   Engine& engine_;
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -154,7 +154,7 @@
       });
     } else if (held.pending == 0) {
       held_.erase(number);
-      actions_.forget(number);
+      actions_.release(number);
     }
   }
   touched_.clear();
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -24,7 +24,7 @@
   virtual void merge(long long query, bool whole) = 0;  // of a first step: its second step is awaited then
   virtual void reject(long long query, double stay_away, const Explanation& why) = 0;
   virtual void abort(long long query, const Explanation& why) = 0;
-  virtual void forget(long long query) = 0;       // ended, and no call is out any more
+  virtual void release(long long query) = 0;       // ended, and no call is out any more
   virtual void ended(int, const Call&) {}         // of this vertical; its outcome stands in it
   virtual void tell(const std::vector<PeerReport>&) {}  // where the other routers can be told
 };
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -684,7 +684,7 @@
       why.a, why.b, why.c);
 }
 
-void Router::forget(long long query) {
+void Router::release(long long query) {
   held_.erase(query);
 }
 
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -168,7 +168,7 @@
 void Instance::abort(long long query, const Explanation&) {
   say("respond_error", ids_.at(query).query);
 }
-void Instance::forget(long long query) {
+void Instance::release(long long query) {
   const auto& ids = ids_.at(query);
   asks_.erase(ids.query);
   for (const auto id : ids.leaves) leaves_.erase(id);
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -50,7 +50,7 @@
   void merge(long long query, bool whole) override;
   void reject(long long query, double stay_away, const Explanation& why) override;
   void abort(long long query, const Explanation& why) override;
-  void forget(long long query) override;
+  void release(long long query) override;
   void tell(const std::vector<PeerReport>& words) override;
 
   std::string name_;
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -51,7 +51,7 @@
   void merge(long long, bool whole) override { said += whole ? "whole " : "part "; }
   void reject(long long, double, const Explanation&) override { said += "reject "; }
   void abort(long long, const Explanation&) override { said += "abort "; }
-  void forget(long long) override { said += "forget "; }
+  void release(long long) override { said += "forget "; }
 
   double now = 1000;
   TimerQueue due;
@@ -175,7 +175,7 @@
     void abort(long long query, const Explanation&) override {
       said += fmt::format("respond_error {}\n", query * 10 + 9);
     }
-    void forget(long long) override {}
+    void release(long long) override {}
     struct Out {
       long long query;
       int leaf, node, call;
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -179,7 +179,7 @@
       void merge(long long, bool) override {}
       void reject(long long, double, const Explanation&) override {}
       void abort(long long, const Explanation&) override {}
-      void forget(long long) override {}
+      void release(long long) override {}
     } actions;
     TimerQueue due;
     std::mt19937 chance(*rc::gen::arbitrary<unsigned>());
