--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -253,7 +253,7 @@
   held_.erase(at);
 }
 
-void Process::ended(int, const Call& call) {
+void Process::on_call_ended(int, const Call& call) {
   world_.settled(*this, call);
 }
 
--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -97,7 +97,7 @@
   void reject(long long query, double stay_away, const Explanation& why) override;
   void abort(long long query, const Explanation& why) override;
   void release(long long query) override;
-  void ended(int vertical, const Call& call) override;
+  void on_call_ended(int vertical, const Call& call) override;
 
   Engine& engine_;
   const Settings& settings_;
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -63,7 +63,7 @@
   // second step at a shard without the highest score, where it fails at once.
   if (outcome == Outcome::success && !held.query.leaves[index].answered) held.scores[index] = score;
   --held.pending;
-  actions_.ended(held.query.vertical, call);
+  actions_.on_call_ended(held.query.vertical, call);
   sites_.ended(call.node, call.sent_at, outcome, now);
   believe();
   if (witness_ != nullptr) witness_->settled(number, held.query, leaf, call_number, now);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -406,7 +406,7 @@
       recorder_->version(subject, standing_.versions().version(subject), standing_.versions().number(), at);
 }
 
-void Router::ended(int vertical, const Call& call) {
+void Router::on_call_ended(int vertical, const Call& call) {
   auto& versions = standing_.versions();
   if (call.outcome == Outcome::unsent || call.outcome == Outcome::unreachable)
     versions.unsent(vertical, call.node);
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -91,7 +91,7 @@
   void reject(long long query, double stay_away, const Explanation& why) override;
   void abort(long long query, const Explanation& why) override;
   void release(long long query) override;
-  void ended(int vertical, const Call& call) override;
+  void on_call_ended(int vertical, const Call& call) override;
 
   void call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) override;
   void connected(int node, double took) override;
