--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -158,7 +158,7 @@
     }
   }
   touched_.clear();
-  if (const auto words = decisions_->take_peer_reports(); !words.empty()) actions_.tell(words);
+  if (const auto words = decisions_->take_peer_reports(); !words.empty()) actions_.send_peer_reports(words);
 }
 
 }  // namespace yoketurn
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -26,7 +26,7 @@
   virtual void abort(long long query, const Explanation& why) = 0;
   virtual void release(long long query) = 0;       // ended, and no call is out any more
   virtual void on_call_ended(int, const Call&) {}         // of this vertical; its outcome stands in it
-  virtual void tell(const std::vector<PeerReport>&) {}  // where the other routers can be told
+  virtual void send_peer_reports(const std::vector<PeerReport>&) {}  // where the other routers can be told
 };
 
 class Queries {
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -111,7 +111,7 @@
 
 // Words for the other routers: three bytes that stand for the node, whose id is the same at all routers, and
 // one for the latency on a scale of sixteenths of a doubling from 1 ms.
-void Instance::tell(const std::vector<PeerReport>& words) {
+void Instance::send_peer_reports(const std::vector<PeerReport>& words) {
   for (std::size_t from = 0; from < words.size(); from += kMostWords) {
     std::string raw;
     for (auto i = from; i < std::min(words.size(), from + kMostWords); ++i) {
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -51,7 +51,7 @@
   void reject(long long query, double stay_away, const Explanation& why) override;
   void abort(long long query, const Explanation& why) override;
   void release(long long query) override;
-  void tell(const std::vector<PeerReport>& words) override;
+  void send_peer_reports(const std::vector<PeerReport>& words) override;
 
   std::string name_;
   TimerQueue due_;
