--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -82,7 +82,7 @@
 }
 
 void Queries::perform(long long number, Held& held, const Decision& answer, double now) {
-  if (witness_ != nullptr) witness_->decided(number, held.query, answer, decisions_->trace(), now);
+  if (witness_ != nullptr) witness_->on_decision(number, held.query, answer, decisions_->trace(), now);
   for (const auto& cancel : answer.cancels) actions_.cancel(number, cancel);
   for (const auto& send : answer.sends) {
     auto& calls = held.query.leaves[static_cast<std::size_t>(send.leaf)].calls;
--- a/src/queries/witness.hpp
+++ b/src/queries/witness.hpp
@@ -11,7 +11,7 @@
  public:
   virtual ~QueryObserver() = default;
   // Before the answer is carried out; the number of a send's call is that of the calls the part has had.
-  virtual void decided(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
+  virtual void on_decision(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
                        double now) = 0;
   virtual void settled(long long query, const Query& q, int leaf, int call, double now) = 0;
 };
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -34,7 +34,7 @@
   return e;
 }
 
-void Recorder::decided(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
+void Recorder::on_decision(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
                        double now) {
   const auto of = [&](What what, std::uint32_t line, const Explanation& why, int leaf) {
     auto e = event(what, line, static_cast<std::uint8_t>(why.reason), now);
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -19,7 +19,7 @@
   Recorder(const Timeline::Budget& budget, const DepartureLimits& limits, bool departures, int verticals,
            double now, double unix_at_zero);
 
-  void decided(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
+  void on_decision(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
                double now) override;
   void settled(long long query, const Query& q, int leaf, int call, double now) override;
 
