--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -66,7 +66,7 @@
   actions_.on_call_ended(held.query.vertical, call);
   sites_.ended(call.node, call.sent_at, outcome, now);
   believe();
-  if (witness_ != nullptr) witness_->settled(number, held.query, leaf, call_number, now);
+  if (witness_ != nullptr) witness_->on_outcome(number, held.query, leaf, call_number, now);
   perform(number, held, decisions_->on_call_ended(held.query, leaf, call_number, now), now);
   touch(number, held);
 }
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -79,7 +79,7 @@
   timeline_.record(e);
 }
 
-void Recorder::settled(long long query, const Query& q, int leaf, int call, double now) {
+void Recorder::on_outcome(long long query, const Query& q, int leaf, int call, double now) {
   const auto& made = q.leaves[static_cast<std::size_t>(leaf)].calls[static_cast<std::size_t>(call)];
   auto e = event(What::outcome, line_of(made.node), static_cast<std::uint8_t>(made.outcome), now);
   e.vertical = static_cast<std::int16_t>(q.vertical);
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -21,7 +21,7 @@
 
   void on_decision(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
                double now) override;
-  void settled(long long query, const Query& q, int leaf, int call, double now) override;
+  void on_outcome(long long query, const Query& q, int leaf, int call, double now) override;
 
   // Of a node: its place in the list, where it is, since when; again whenever it is told.
   void listed(int node, const std::string& name, const std::string& address, bool up, double born,
