--- a/src/clients/connection.cpp
+++ b/src/clients/connection.cpp
@@ -42,7 +42,7 @@
       due_(due),
       owner_(owner),
       id_(id),
-      due_key_(due.fresh_key()),
+      due_key_(due.new_key()),
       since_(now()),
       opened_(since_),
       in_(2 * kLargestHeader),
--- a/src/clients/listener.cpp
+++ b/src/clients/listener.cpp
@@ -27,7 +27,7 @@
     : context_(context),
       acceptor_(context),
       due_(due),
-      due_key_(due.fresh_key()),
+      due_key_(due.new_key()),
       most_connections_(most_connections),
       room_from_(room_from),
       log_(log),
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -28,7 +28,7 @@
       limits_(limits),
       owner_(owner),
       node_(node),
-      due_key_(due.fresh_key()),
+      due_key_(due.new_key()),
       in_(kLargestFrame),
       outgoing_(kLargestFrame * limits.parts_a_call) {}
 
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -135,7 +135,7 @@
       agent_(agent),
       log_(log),
       listener_(listener),
-      due_key_(due.fresh_key()) {}
+      due_key_(due.new_key()) {}
 
 Watch::~Watch() {
   if (connection_) connection_->watch = nullptr;
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -196,10 +196,10 @@
 void Process::send(long long query, const Send& send, int call) {
   auto& held = held_.at(query);
   const auto flight = world_.send(*this, held.request, send, send.leaf, call);
-  const auto due = due_.fresh_key();
+  const auto due = due_.new_key();
   held.out.push_back({send.leaf, call, flight, due, 0});
   if (send.max_send_delay < send.timeout) {
-    held.out.back().by = due_.fresh_key();
+    held.out.back().by = due_.new_key();
     due_.set(held.out.back().by, now() + send.max_send_delay,
              [this, query, leaf = send.leaf, call](double) { withdraw(query, leaf, call); });
   }
--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -15,7 +15,7 @@
   using Key = long long;  // one due time a key; those of the same time come in the order of their keys
   using Work = std::function<void(double now)>;
 
-  Key fresh_key() { return --last_key_; }  // below 0; whoever numbers things by itself does so from 0
+  Key new_key() { return --last_key_; }  // below 0; whoever numbers things by itself does so from 0
 
   void set(Key key, double at, Work work) {
     drop(key);
@@ -26,7 +26,7 @@
   // Calls `again` of an object once at that time, if the object is still there.
   template <class Object>
   void set_once(double at, std::weak_ptr<Object> object, void (Object::*again)()) {
-    set(fresh_key(), at, [object = std::move(object), again](double) {
+    set(new_key(), at, [object = std::move(object), again](double) {
       if (const auto held = object.lock()) (held.get()->*again)();
     });
   }
--- a/src/timeline/server.cpp
+++ b/src/timeline/server.cpp
@@ -60,7 +60,7 @@
 class TimelineServer::Reader : public std::enable_shared_from_this<Reader> {
  public:
   Reader(asio::ip::tcp::socket socket, TimelineServer& owner)
-      : socket_(std::move(socket)), owner_(&owner), due_(owner.due_), due_key_(due_.fresh_key()) {
+      : socket_(std::move(socket)), owner_(&owner), due_(owner.due_), due_key_(due_.new_key()) {
     parser_.header_limit(kHead);
     parser_.body_limit(0);
     parser_.eager(true);
