--- a/src/clients/connection.cpp
+++ b/src/clients/connection.cpp
@@ -59,7 +59,7 @@
 }
 
 void ClientConnection::close_at(double at) {
-  due_.set(due_key_, at, [weak = weak_from_this()](double) {
+  due_.schedule(due_key_, at, [weak = weak_from_this()](double) {
     if (const auto self = weak.lock()) self->late();
   });
 }
@@ -103,7 +103,7 @@
 // While its buffer is full of what it has sent ahead nothing more is read, so that its end can't be read
 // either: a client that sends much at once and goes would have its parts sent on long after.
 void ClientConnection::watch_departure() {
-  due_.set(due_key_, now() + kDepartureCheck, [weak = weak_from_this()](double) {
+  due_.schedule(due_key_, now() + kDepartureCheck, [weak = weak_from_this()](double) {
     const auto self = weak.lock();
     if (!self || self->state_ != State::asked) return;
     if (self->departed()) return self->lost();
--- a/src/clients/listener.cpp
+++ b/src/clients/listener.cpp
@@ -87,7 +87,7 @@
 }
 
 void Listener::accept_at(double at) {
-  due_.set(due_key_, at, [this](double) { accept(); });
+  due_.schedule(due_key_, at, [this](double) { accept(); });
 }
 
 void Listener::admit(asio::ip::tcp::socket socket) {
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -55,7 +55,7 @@
 }
 
 void NodeConnection::touch_due(double at) {
-  due_.set(due_key_, at, [weak = weak_from_this()](double now) {
+  due_.schedule(due_key_, at, [weak = weak_from_this()](double now) {
     const auto self = weak.lock();
     if (!self) return;
     boost::system::error_code ignored;
--- a/src/datanodes/pool.cpp
+++ b/src/datanodes/pool.cpp
@@ -58,11 +58,11 @@
   const auto at = now();
   part.expires = at + timeout;
   part.send_by = at + std::min(by, timeout);
-  due_.set(out.due, part.expires, [this, ref](double) { give_up(ref, Outcome::timed_out); });
+  due_.schedule(out.due, part.expires, [this, ref](double) { give_up(ref, Outcome::timed_out); });
   // A connection may come up, or take what waits for it, when the time for a deduplicated part is over.
   if (by < timeout) {
     out.by = due_.new_key();
-    due_.set(out.by, part.send_by, [this, ref](double) { withdraw(ref); });
+    due_.schedule(out.by, part.send_by, [this, ref](double) { withdraw(ref); });
   }
   turn_[{node, group}].push_back(std::move(part));
 }
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -174,7 +174,7 @@
 }
 
 void Watch::await_word(double patience) {
-  due_.set(due_key_, now() + patience, [this](double) {
+  due_.schedule(due_key_, now() + patience, [this](double) {
     if (unread()) return await_word(kReadsFirst);  // the router is behind, not discovery
     lost("silence");
   });
@@ -227,7 +227,7 @@
   log_.line("watch_lost", "why=\"{}\" version={}", why, version_.value_or(-1));
   listener_.watch_lost();
   if (heard_anything_ && now() > opened_at_ + kLasts) failures_ = 0;
-  due_.set(due_key_, now() + by_failures(kReopenAfter, failures_++), [this](double) { open(); });
+  due_.schedule(due_key_, now() + by_failures(kReopenAfter, failures_++), [this](double) { open(); });
 }
 
 }  // namespace yoketurn
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -200,10 +200,10 @@
   held.out.push_back({send.leaf, call, flight, due, 0});
   if (send.max_send_delay < send.timeout) {
     held.out.back().by = due_.new_key();
-    due_.set(held.out.back().by, now() + send.max_send_delay,
+    due_.schedule(held.out.back().by, now() + send.max_send_delay,
              [this, query, leaf = send.leaf, call](double) { withdraw(query, leaf, call); });
   }
-  due_.set(due, now() + send.timeout,
+  due_.schedule(due, now() + send.timeout,
            [this, query, leaf = send.leaf, call](double) { timed_out(query, leaf, call); });
 }
 
--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -17,7 +17,7 @@
 
   Key new_key() { return --last_key_; }  // below 0; whoever numbers things by itself does so from 0
 
-  void set(Key key, double at, Work work) {
+  void schedule(Key key, double at, Work work) {
     drop(key);
     times_.emplace(key, at);
     order_.emplace(std::pair{at, key}, std::move(work));
@@ -26,7 +26,7 @@
   // Calls `again` of an object once at that time, if the object is still there.
   template <class Object>
   void set_once(double at, std::weak_ptr<Object> object, void (Object::*again)()) {
-    set(new_key(), at, [object = std::move(object), again](double) {
+    schedule(new_key(), at, [object = std::move(object), again](double) {
       if (const auto held = object.lock()) (held.get()->*again)();
     });
   }
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -149,7 +149,7 @@
     if (!held.query.ended) perform(number, held, decisions_->route(held.query, now), now);
     held.touched = false;
     if (!held.query.ended) {
-      due_.set(number, now + decisions_->time_to_next_check(held.query, now), [this, number](double) {
+      due_.schedule(number, now + decisions_->time_to_next_check(held.query, now), [this, number](double) {
         if (const auto at = held_.find(number); at != held_.end()) touch(number, *at->second);
       });
     } else if (held.pending == 0) {
--- a/src/timeline/server.cpp
+++ b/src/timeline/server.cpp
@@ -83,7 +83,7 @@
  private:
   enum class Part { none, nodes, events, tens, seconds, versions };
   void patience() {
-    due_.set(due_key_, now() + kPatience, [weak = weak_from_this()](double) {
+    due_.schedule(due_key_, now() + kPatience, [weak = weak_from_this()](double) {
       if (const auto self = weak.lock()) self->close();
     });
   }
