--- a/src/clients/connection.cpp
+++ b/src/clients/connection.cpp
@@ -136,7 +136,7 @@
   boost::system::error_code error;
   const auto count = socket_.read_some(in_.space(), error);
   if (is_lack_of_memory(error))
-    return due_.set_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::read);
+    return due_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::read);
   if (is_transient(error)) return read();
   if (error) return lost();
   in_.commit(count);
@@ -232,7 +232,7 @@
   while (out_.size() > 0 && !error) out_.consume(socket_.write_some(out_.data(), error));
   if (is_transient(error)) return await_writable();
   if (is_lack_of_memory(error))
-    return due_.set_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::write);
+    return due_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::write);
   if (!error && state_ != State::answering) return;
   writing_ = true;
   asio::post(socket_.get_executor(), [self = shared_from_this(), failed = bool(error)] {
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -166,7 +166,7 @@
     await_writable();
   } else if (is_lack_of_memory(error)) {
     // This machine's lack, not the node's: the call waits, as it does for a full socket.
-    due_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::write);
+    due_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::write);
   } else {
     write_failed(error);
   }
@@ -240,7 +240,7 @@
   }
   if (state_ != State::open) return;
   if (!lacks_memory_) return await_readable();
-  due_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::read_available);
+  due_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::read_available);
 }
 
 bool NodeConnection::read_some() {
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -74,7 +74,7 @@
     boost::system::error_code error;
     const auto count = socket.read_some(ring.space(), error);
     if (watch != nullptr && is_lack_of_memory(error))
-      return watch->due_.set_once(now() + kRetryAfterLack, weak_from_this(), &Connection::read);
+      return watch->due_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &Connection::read);
     if (is_transient(error)) return read();
     if (error) return fail(error.message());
     ring.commit(count);
--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -25,7 +25,7 @@
   }
   // Calls `again` of an object once at that time, if the object is still there.
   template <class Object>
-  void set_once(double at, std::weak_ptr<Object> object, void (Object::*again)()) {
+  void schedule_once(double at, std::weak_ptr<Object> object, void (Object::*again)()) {
     schedule(new_key(), at, [object = std::move(object), again](double) {
       if (const auto held = object.lock()) (held.get()->*again)();
     });
