--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -31,7 +31,7 @@
     });
   }
   // Called whenever a time is set that comes before all others: whoever waits for them must wait less long.
-  void on_earlier(std::function<void()> called) { on_earlier_ = std::move(called); }
+  void on_earlier_timer(std::function<void()> called) { on_earlier_ = std::move(called); }
   void drop(Key key) {
     const auto at = times_.find(key);
     if (at == times_.end()) return;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -135,7 +135,7 @@
 
 // What ends connections may set due times, and the timer that waits for these ends first.
 Router::~Router() {
-  due_.on_earlier(nullptr);
+  due_.on_earlier_timer(nullptr);
 }
 
 void Router::start() {
@@ -161,7 +161,7 @@
   next_tick_ = now();
   figures_at_ = next_tick_ + kFigures;
   // What is read may set a time that comes before the next turn: a lost watch would be opened a tick later.
-  due_.on_earlier([this] {
+  due_.on_earlier_timer([this] {
     if (!in_turn_) arm();
   });
   tick();
