--- a/src/clients/connection.cpp
+++ b/src/clients/connection.cpp
@@ -192,7 +192,7 @@
     return;
   }
   state_ = State::asked;
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   owner_.seen(*this, What::request, now() - since_, 0);
   asked_at_ = now();
   keep_alive_ = parser_->keep_alive();
@@ -203,7 +203,7 @@
 }
 
 void ClientConnection::fail(int status, std::string_view why) {
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   state_ = State::asked;
   asked_at_ = now();
   if (shut_ == Shut::by_client) shut_ = Shut::bad;
@@ -256,7 +256,7 @@
 void ClientConnection::written() {
   out_.release();
   parser_.reset();
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   begun_ = continued_ = false;
   served_ = true;
   ++answers_;
@@ -291,7 +291,7 @@
   if (state_ == State::closed) return;
   shut_ = why;
   state_ = State::closed;
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   boost::system::error_code ignored;
   socket_.close(ignored);
   owner_.closed(*this);
--- a/src/clients/listener.cpp
+++ b/src/clients/listener.cpp
@@ -154,7 +154,7 @@
   accept();
   boost::system::error_code ignored;
   acceptor_.close(ignored);
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
 }
 
 void Listener::asked(ClientConnection& connection, const ClientConnection::Request& request) {
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -80,7 +80,7 @@
   if (half) {
     touch_due(last_heard_ + limits_.connect_timeout);
   } else if (!idle()) {
-    due_.drop(due_key_);
+    due_.cancel(due_key_);
   }
 }
 
@@ -100,7 +100,7 @@
   for (const auto& part : parts) out_[part.id] = {part.ref, now, false};
   waiting_.push_back(std::move(parts));
   last_used_ = now;
-  if (state_ == State::open) due_.drop(due_key_);
+  if (state_ == State::open) due_.cancel(due_key_);
   write();
 }
 
@@ -372,7 +372,7 @@
 void NodeConnection::close(Closing closing, std::string_view why, Outcome written, Outcome unwritten) {
   if (state_ == State::closed) return;
   state_ = State::closed;
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   boost::system::error_code ignored;
   socket_.close(ignored);
   waiting_.clear();
--- a/src/datanodes/pool.cpp
+++ b/src/datanodes/pool.cpp
@@ -146,8 +146,8 @@
 void Pool::ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) {
   const auto at = out_.find(ref);
   if (at == out_.end()) return;
-  due_.drop(at->second.due);
-  if (at->second.by != 0) due_.drop(at->second.by);
+  due_.cancel(at->second.due);
+  if (at->second.by != 0) due_.cancel(at->second.by);
   out_.erase(at);
   listener_.call_ended(ref, outcome, score, value);
 }
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -153,8 +153,8 @@
   for (auto& part : out)
     if (part.leaf == leaf && part.call == call) {
       flight = part.flight;
-      due_.drop(part.due);
-      if (part.by != 0) due_.drop(part.by);
+      due_.cancel(part.due);
+      if (part.by != 0) due_.cancel(part.by);
       part = out.back();
       out.pop_back();
       return true;
@@ -225,8 +225,8 @@
   for (std::size_t i = held.out.size(); i-- > 0;) {
     const auto part = held.out[i];
     if (!world_.unsent(part.flight)) continue;
-    due_.drop(part.due);
-    if (part.by != 0) due_.drop(part.by);
+    due_.cancel(part.due);
+    if (part.by != 0) due_.cancel(part.by);
     held.out[i] = held.out.back();
     held.out.pop_back();
     news_.push_back({query, part.leaf, part.call, Outcome::unsent});
--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -18,7 +18,7 @@
   Key new_key() { return --last_key_; }  // below 0; whoever numbers things by itself does so from 0
 
   void schedule(Key key, double at, Work work) {
-    drop(key);
+    cancel(key);
     times_.emplace(key, at);
     order_.emplace(std::pair{at, key}, std::move(work));
     if (on_earlier_ && order_.begin()->first.second == key) on_earlier_();
@@ -32,7 +32,7 @@
   }
   // Called whenever a time is set that comes before all others: whoever waits for them must wait less long.
   void on_earlier_timer(std::function<void()> called) { on_earlier_ = std::move(called); }
-  void drop(Key key) {
+  void cancel(Key key) {
     const auto at = times_.find(key);
     if (at == times_.end()) return;
     order_.erase({at->second, key});
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -136,7 +136,7 @@
 
 void Queries::end(long long number, Held& held) {
   held.query.ended = true;
-  due_.drop(number);
+  due_.cancel(number);
   touch(number, held);
 }
 
--- a/src/timeline/server.cpp
+++ b/src/timeline/server.cpp
@@ -70,7 +70,7 @@
     read();
   }
   void close() {
-    due_.drop(due_key_);
+    due_.cancel(due_key_);
     boost::system::error_code ignored;
     socket_.close(ignored);
     if (auto* owner = std::exchange(owner_, nullptr)) owner->done(shared_from_this());
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -72,7 +72,7 @@
   due.schedule(1, 2, note("b"));
   due.schedule(2, 1, note("a"));
   due.schedule(4, 1, note("x"));
-  due.drop(4);
+  due.cancel(4);
   due.schedule(5, 1, note("d"));
   due.schedule(5, 3, note("d"));
   due.run(2.5);
