--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -38,7 +38,7 @@
     order_.erase({at->second, key});
     times_.erase(at);
   }
-  void run(double now) {
+  void run_due(double now) {
     while (!order_.empty() && order_.begin()->first.first <= now) {
       const auto first = order_.begin();
       const auto work = std::move(first->second);
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -141,7 +141,7 @@
 }
 
 void Queries::process_changes(double now) {
-  due_.run(now);
+  due_.run_due(now);
   for (std::size_t i = 0; i < touched_.size(); ++i) {
     const auto number = touched_[i];
     auto& held = *held_.at(number);
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -77,7 +77,7 @@
     for (const auto began = now(); ends.ended.size() < many && now() < began + 5;) {
       context.restart();
       context.run_for(std::chrono::milliseconds(5));
-      due.run(now());
+      due.run_due(now());
     }
     REQUIRE(ends.ended.size() == many);
   }
--- a/tests/node_connection_test.cpp
+++ b/tests/node_connection_test.cpp
@@ -56,7 +56,7 @@
     for (const auto end = std::chrono::steady_clock::now() + time; std::chrono::steady_clock::now() < end;) {
       context.restart();
       context.run_for(std::chrono::milliseconds(1));
-      due.run(now());
+      due.run_due(now());
     }
   }
   template <class Holds>
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -75,11 +75,11 @@
   due.cancel(4);
   due.schedule(5, 1, note("d"));
   due.schedule(5, 3, note("d"));
-  due.run(2.5);
+  due.run_due(2.5);
   CHECK(ran == "abc");
   CHECK(due.next() == 3);
-  due.run(9);
-  due.run(9);
+  due.run_due(9);
+  due.run_due(9);
   CHECK(ran == "abcd");
 }
 
