--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -99,7 +99,7 @@
 }
 
 void Process::arm() {
-  const auto next = due_.next();
+  const auto next = due_.next_due();
   if (!std::isfinite(next) || (armed_ >= 0 && armed_ <= next + 1e-9)) return;
   armed_ = next;
   engine_.at(next - kZero + kLittle, [this, next, life = life_] {
--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -47,7 +47,7 @@
       work(now);
     }
   }
-  double next() const {
+  double next_due() const {
     return order_.empty() ? std::numeric_limits<double>::infinity() : order_.begin()->first.first;
   }
   std::size_t size() const { return order_.size(); }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -509,7 +509,7 @@
 }
 
 void Router::arm() {
-  due_after(due_.next());
+  due_after(due_.next_due());
 }
 
 void Router::due_after(double next) {
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -183,7 +183,7 @@
   queries_.process_changes(now);
   if (!tick_set_) set_timer("tick", now + queries_.tick_interval(), now);
   tick_set_ = true;
-  if (const auto next = due_.next(); due_.size() > 0 && (wake_at_ < 0 || next < wake_at_ - 1e-6)) {
+  if (const auto next = due_.next_due(); due_.size() > 0 && (wake_at_ < 0 || next < wake_at_ - 1e-6)) {
     wake_at_ = next;
     set_timer("due", wake_at_, now);
   }
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -77,7 +77,7 @@
   due.schedule(5, 3, note("d"));
   due.run_due(2.5);
   CHECK(ran == "abc");
-  CHECK(due.next() == 3);
+  CHECK(due.next_due() == 3);
   due.run_due(9);
   due.run_due(9);
   CHECK(ran == "abcd");
