--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -13,11 +13,11 @@
 class TimerQueue {
  public:
   using Key = long long;  // one due time a key; those of the same time come in the order of their keys
-  using Work = std::function<void(double now)>;
+  using Callback = std::function<void(double now)>;
 
   Key new_key() { return --last_key_; }  // below 0; whoever numbers things by itself does so from 0
 
-  void schedule(Key key, double at, Work work) {
+  void schedule(Key key, double at, Callback work) {
     cancel(key);
     times_.emplace(key, at);
     order_.emplace(std::pair{at, key}, std::move(work));
@@ -55,7 +55,7 @@
  private:
   Key last_key_ = 0;
   std::unordered_map<Key, double> times_;
-  std::map<std::pair<double, Key>, Work> order_;
+  std::map<std::pair<double, Key>, Callback> order_;
   std::function<void()> on_earlier_;
 };
 
