--- a/src/estimates/samples.hpp
+++ b/src/estimates/samples.hpp
@@ -36,7 +36,7 @@
 }
 
 // By the same estimate, the chance that a value is at most this.
-inline double chance_within(std::vector<Sample>& samples, double value) {
+inline double probability_within(std::vector<Sample>& samples, double value) {
   by_value(samples);
   double above = 1;
   for (std::size_t i = 0; i < samples.size() && samples[i].value <= value; ++i)
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -24,8 +24,8 @@
   auto times = v.query_times.recent(now);
   // The SLO time runs from the client's first try, of which a later one tells nothing but that it was.
   const auto used = q.client_retry ? kRetryAge * (q.deadline - q.received_at) : 0;
-  const auto in_time = chance_within(times, verticals.slo_end(q) - used - now);
-  const auto late = std::max(0.0, chance_within(times, verticals.last_end(q) - now) - in_time);
+  const auto in_time = probability_within(times, verticals.slo_end(q) - used - now);
+  const auto late = std::max(0.0, probability_within(times, verticals.last_end(q) - now) - in_time);
   const auto many = static_cast<double>(times.size());
   return (many * (in_time + v.is.late_utility * late) + kHopeWeight) / (many + kHopeWeight);
 }
