--- a/src/estimates/samples.hpp
+++ b/src/estimates/samples.hpp
@@ -19,14 +19,14 @@
 
 // Quantiles are product-limit estimates. Cancelled calls are the slow ones: to leave them out, or to take
 // their age for a latency, would pull the percentile down and so invite more copies.
-inline void by_value(std::vector<Sample>& samples) {
+inline void sort_by_value(std::vector<Sample>& samples) {
   std::sort(samples.begin(), samples.end(), [](const Sample& a, const Sample& b) {
     return a.value != b.value ? a.value < b.value : a.censored < b.censored;
   });
 }
 
 inline double quantile(std::vector<Sample>& samples, double share) {
-  by_value(samples);
+  sort_by_value(samples);
   double above = 1;
   for (std::size_t i = 0; i < samples.size(); ++i) {
     if (!samples[i].censored) above *= 1 - 1.0 / static_cast<double>(samples.size() - i);
@@ -37,7 +37,7 @@
 
 // By the same estimate, the chance that a value is at most this.
 inline double probability_within(std::vector<Sample>& samples, double value) {
-  by_value(samples);
+  sort_by_value(samples);
   double above = 1;
   for (std::size_t i = 0; i < samples.size() && samples[i].value <= value; ++i)
     if (!samples[i].censored) above *= 1 - 1.0 / static_cast<double>(samples.size() - i);
