--- a/src/fleet/follow.cpp
+++ b/src/fleet/follow.cpp
@@ -67,7 +67,7 @@
 }  // namespace
 
 double unix_now() {
-  static const auto unix_at_start = unix_at_zero();
+  static const auto unix_at_start = unix_time_at_zero();
   return unix_at_start + yoketurn::now();
 }
 
--- a/src/queries/clock.hpp
+++ b/src/queries/clock.hpp
@@ -10,7 +10,7 @@
 }
 
 // What the machines' common clock shows, on that of this router, when now() is 0.
-inline double unix_at_zero() {
+inline double unix_time_at_zero() {
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count() - now();
 }
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -113,7 +113,7 @@
       config_(config),
       asked_(asked_of(config)),
       zones_(index(config.zones)),
-      unix_at_zero_(unix_at_zero()),
+      unix_at_zero_(unix_time_at_zero()),
       shutdown_(config.bounds.longest_wait),
       still_(kReadsFirstAfter),
       node_ages_(config.settings.slow_start_time),
@@ -279,7 +279,7 @@
                                   operators.timeline.lines};
     recorder_ = std::make_unique<Recorder>(budget, departure_limits(operators, config_.settings),
                                            operators.departures.on,
-                                           static_cast<int>(config_.verticals.size()), began, unix_at_zero());
+                                           static_cast<int>(config_.verticals.size()), began, unix_time_at_zero());
     queries_.set_observer(recorder_.get());
     versions_at_ = 0;
   }
@@ -289,7 +289,7 @@
   if (!operators.segments.folder.empty()) {
     const auto& s = operators.segments;
     segments_ = std::make_unique<Segments>(SegmentLimits{s.folder, s.size, s.total, s.age, s.queue},
-                                           config_.name, unix_at_zero());
+                                           config_.name, unix_time_at_zero());
     recorder_->timeline().also = [this](const Event& event) { segments_->event(event); };
     recorder_->timeline().also_line = [this](const Timeline::Line& line) { segments_->line(line); };
     for (const auto& line : recorder_->timeline().lines()) segments_->line(line);
@@ -354,7 +354,7 @@
     log_.line("segment_failed", "why=\"{}\" folder=\"{}\"", segments_->trouble(),
               config_.operators.segments.folder);
   }
-  for (const auto& news : recorder_->tick(at, unix_at_zero())) {
+  for (const auto& news : recorder_->tick(at, unix_time_at_zero())) {
     const auto vertical =
         news.vertical == kNone ? "-" : config_.verticals[static_cast<std::size_t>(news.vertical)].c_str();
     log_.line(news.returned ? "returned" : "departed",
