--- a/src/estimates/samples.hpp
+++ b/src/estimates/samples.hpp
@@ -47,14 +47,14 @@
 // Counts events in a sliding window.
 class WindowCounter {
  public:
-  explicit WindowCounter(double span = 0) : span_(span) {}
+  explicit WindowCounter(double span = 0) : window_seconds_(span) {}
   void add(double now, double count = 1) {
     recent(now);
     events_.emplace_back(now, count);
     total_ += count;
   }
   double recent(double now) {
-    while (!events_.empty() && events_.front().first < now - span_) {
+    while (!events_.empty() && events_.front().first < now - window_seconds_) {
       total_ -= events_.front().second;
       events_.pop_front();
     }
@@ -62,7 +62,7 @@
   }
 
  private:
-  double span_;
+  double window_seconds_;
   std::deque<std::pair<double, double>> events_;
   double total_ = 0;
 };
@@ -70,17 +70,17 @@
 // The samples of a sliding window.
 class SampleWindow {
  public:
-  explicit SampleWindow(double span) : span_(span) {}
+  explicit SampleWindow(double span) : window_seconds_(span) {}
   void add(double now, Sample sample) { samples_.emplace_back(now, sample); }
   std::vector<Sample> recent(double now) {
-    while (!samples_.empty() && samples_.front().first < now - span_) samples_.pop_front();
+    while (!samples_.empty() && samples_.front().first < now - window_seconds_) samples_.pop_front();
     std::vector<Sample> result;
     for (const auto& [when, sample] : samples_) result.push_back(sample);
     return result;
   }
 
  private:
-  double span_;
+  double window_seconds_;
   std::deque<std::pair<double, Sample>> samples_;
 };
 
@@ -88,17 +88,17 @@
 // else go by its very first one for a minute.
 class SmoothedMean {
  public:
-  explicit SmoothedMean(double weight) : most_(1 / weight) {}  // of a new sample, once there are enough
+  explicit SmoothedMean(double weight) : max_count_(1 / weight) {}  // of a new sample, once there are enough
   void add(double sample) {
-    many_ = std::min(many_ + 1, most_);
-    value_ += (sample - value_) / many_;
+    count_ = std::min(count_ + 1, max_count_);
+    value_ += (sample - value_) / count_;
   }
   operator double() const { return value_; }  // 0: no sample yet
 
  private:
   double value_ = 0;
-  double many_ = 0;
-  double most_;
+  double count_ = 0;
+  double max_count_;
 };
 
 }  // namespace yoketurn
--- a/src/policy/relative_work.hpp
+++ b/src/policy/relative_work.hpp
@@ -13,32 +13,32 @@
 class RelativeWork {
  public:
   // aims: by class, the time in which its answers earn their full utility, in seconds.
-  explicit RelativeWork(const std::vector<double>& aims);
+  explicit RelativeWork(const std::vector<double>& slo_times);
 
-  void sent(int request_class, double now);
-  void hinted(int request_class, double seconds);  // the cost hint of a sub-request
+  void record_sent(int vertical, double now);
+  void record_hint(int vertical, double seconds);  // the cost hint of a sub-request
   // The time that quick answers of late took; passed over where the class has hints.
-  void answered(int request_class, double seconds);
+  void record_quick_latency(int vertical, double seconds);
 
   // A class of which nothing is known yet is taken for as much heavier than the others as its aim is longer,
   // and no lighter than the mean.
-  double of(int request_class) const;
+  double estimate(int vertical) const;
 
  private:
-  struct Class {
-    double aim = 0;
-    SmoothedMean seconds;
+  struct VerticalWork {
+    double slo_time = 0;
+    SmoothedMean work_seconds;
     bool has_hints = false;
-    double sent = 0;  // of late, as of counted_at_
+    double sent_count = 0;  // of late, as of counted_at_
   };
   struct Means {
-    double seconds = 0, aim = 0;  // over the classes that are known; 0: none is
+    double work_seconds = 0, slo_time = 0;  // over the classes that are known; 0: none is
   };
 
   Means means() const;
 
-  std::vector<Class> classes_;
-  double counted_at_ = 0;
+  std::vector<VerticalWork> verticals_;
+  double decayed_at_ = 0;
 };
 
 }  // namespace yoketurn::policy
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -25,7 +25,7 @@
   virtual void reject(long long query, double stay_away, const Explanation& why) = 0;
   virtual void abort(long long query, const Explanation& why) = 0;
   virtual void release(long long query) = 0;       // ended, and no call is out any more
-  virtual void on_call_ended(int, const Call&) {}         // of this vertical; its outcome stands in it
+  virtual void on_call_ended(int, const Call&) {}  // of this vertical; its outcome stands in it
   virtual void send_peer_reports(const std::vector<PeerReport>&) {}  // where the other routers can be told
 };
 
@@ -33,30 +33,30 @@
  public:
   Queries(const Settings& settings, std::uint64_t seed, double now, TimerQueue& due, QueryActions& actions);
   // With others in the place of the module.
-  Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed, TimerQueue& due,
-          QueryActions& actions);
+  Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed,
+          TimerQueue& due, QueryActions& actions);
 
   void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, double now, bool told = true) {
-    decisions_->update_nodes(hosts, complete, told);
+    policy_->update_nodes(hosts, complete, told);
     sites_.list(hosts, complete, now);
   }
   void remove_node(int node) {
-    decisions_->remove_node(node);
+    policy_->remove_node(node);
     sites_.forget(node);
   }
-  void on_peer_report(PeerReport word, double now) { decisions_->on_peer_report(word, now); }
-  void on_node_list_failed(double now) { decisions_->on_node_list_failed(now); }
+  void on_peer_report(PeerReport word, double now) { policy_->on_peer_report(word, now); }
+  void on_node_list_failed(double now) { policy_->on_node_list_failed(now); }
   bool tick(double now);
   Sites& sites() { return sites_; }
-  double tick_interval() const { return decisions_->tick_interval(); }
-  NodeHealth node_health(int node, double now) const { return decisions_->node_health(node, now); }
-  long long dropped_trace_entries() const { return decisions_->dropped_trace_entries(); }
+  double tick_interval() const { return policy_->tick_interval(); }
+  NodeHealth node_health(int node, double now) const { return policy_->node_health(node, now); }
+  long long dropped_trace_entries() const { return policy_->dropped_trace_entries(); }
   void set_observer(QueryObserver* witness) {  // is told of everything from now on; nullptr: nobody is
-    witness_ = witness;
-    decisions_->enable_trace(witness != nullptr);
+    observer_ = witness;
+    policy_->enable_trace(witness != nullptr);
   }
 
-  bool contains(long long query) const { return held_.contains(query); }
+  bool contains(long long query) const { return pending_queries_.contains(query); }
   void add_query(long long query, Query start, double now);
   int add_part(long long query, Leaf leaf, double now);  // its place among the parts; kNone: not wanted
   void on_outcome(long long query, int leaf, int call, Outcome outcome, double score, double now);
@@ -69,28 +69,28 @@
   bool awaits_parts(long long query) const;
 
  private:
-  struct Held {
+  struct PendingQuery {
     Query query;
     std::vector<double> scores;  // of the parts that are in
-    int pending = 0;             // calls without an outcome
-    bool touched = false;
+    int pending_calls = 0;       // calls without an outcome
+    bool changed = false;
   };
 
-  void touch(long long number, Held& held);
-  void perform(long long number, Held& held, const Decision& answer, double now);
-  void finish_step(long long number, Held& held, const Decision& answer);
-  void end(long long number, Held& held);
+  void mark_changed(long long number, PendingQuery& held);
+  void carry_out(long long number, PendingQuery& held, const Decision& answer, double now);
+  void finish_step(long long number, PendingQuery& held, const Decision& answer);
+  void end_query(long long number, PendingQuery& held);
 
-  void believe();
+  void apply_site_shares();
 
-  std::unique_ptr<RoutingPolicy> decisions_;
+  std::unique_ptr<RoutingPolicy> policy_;
   Sites sites_;
-  TimerQueue& due_;
+  TimerQueue& timers_;
   QueryActions& actions_;
-  QueryObserver* witness_ = nullptr;
-  std::vector<int> second_steps_;
-  std::map<long long, std::unique_ptr<Held>> held_;
-  std::vector<long long> touched_;
+  QueryObserver* observer_ = nullptr;
+  std::vector<int> second_step_parts_;
+  std::map<long long, std::unique_ptr<PendingQuery>> pending_queries_;
+  std::vector<long long> changed_queries_;
 };
 
 }  // namespace yoketurn
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -14,9 +14,10 @@
 // A node that has just started, of which so many parts of mean work are allowed to all routers in a window.
 struct Started {
   Started(int routers, double allowed) : cold(settings_for(routers)) {
-    node.sent = WindowCounter(cold.fall_time);
-    node.born = kStarted;
-    cold.node_rate = allowed / cold.start / cold.rate / cold.fall_time / routers;
+    node.recent_work = WindowCounter(cold.overload_time);
+    node.started_at = kStarted;
+    cold.node_answer_rate =
+        allowed / cold.start_capacity / cold.overload_ratio / cold.overload_time / routers;
   }
   static Settings settings_for(int routers) {
     auto s = test::settings();
@@ -29,13 +30,13 @@
     int sent = 0;
     for (auto now = from; now < until; now += 0.002) {
       if (!cold.allows(node, work, now, chance)) continue;
-      cold.sent(node, work, now);
+      cold.record_sent(node, work, now);
       ++sent;
     }
     return sent;
   }
 
-  Cold cold;
+  SlowStart cold;
   Node node;
   std::ranlux24_base chance{7};
 };
@@ -77,7 +78,7 @@
     for (const auto& [now, i] : wishes) {
       auto& router = routers[i];
       if (!router.cold.allows(router.node, work, now, router.chance)) continue;
-      router.cold.sent(router.node, work, now);
+      router.cold.record_sent(router.node, work, now);
       arrived.add(now, work);
       most = std::max(most, arrived.recent(now));
     }
@@ -87,7 +88,7 @@
 
 TEST_CASE("slow start: a part that alone would make it fall is not sent there") {
   Started started(3, 10);
-  CHECK(started.cold.cost(started.node, 19, kStarted) == kNever);
+  CHECK(started.cold.token_cost(started.node, 19, kStarted) == kNever);
   CHECK(started.takes(19, kStarted, kStarted + 100) == 0);
   CHECK(started.takes(1, kStarted + 101, kStarted + 102) > 0);
 }
