--- a/src/datanodes/frames.hpp
+++ b/src/datanodes/frames.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 #include "buffers/ring.hpp"
 
 namespace yoketurn {
--- a/src/departures/departures.hpp
+++ b/src/departures/departures.hpp
@@ -7,7 +7,7 @@
 #include <span>
 #include <vector>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 #include "departures/detectors.hpp"
 #include "timeline/event.hpp"
 
--- a/src/emulator/designs.hpp
+++ b/src/emulator/designs.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn::emulator {
 
--- a/src/emulator/network.hpp
+++ b/src/emulator/network.hpp
@@ -6,7 +6,7 @@
 #include <random>
 #include <vector>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 #include "days/day.hpp"
 #include "emulator/engine.hpp"
 #include "emulator/flights.hpp"
--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn::policy {
 
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -1,6 +1,6 @@
 // The three questions: where a part goes and when it gets a copy, what follows an outcome, how long to wait.
 // Interface: brain.hpp; the caller holds queries and timers. docs/design.md gives the reasons.
-#include "brain.hpp"
+#include "routing_policy.hpp"
 
 #include "estimates/judgements.hpp"
 #include "policy/admission.hpp"
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <span>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 #include "estimates/samples.hpp"
 
 namespace yoketurn::policy {
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -7,7 +7,7 @@
 #include <span>
 #include <vector>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 #include "queries/due.hpp"
 #include "queries/witness.hpp"
 #include "sites/sites.hpp"
--- a/src/queries/witness.hpp
+++ b/src/queries/witness.hpp
@@ -3,7 +3,7 @@
 
 #include <span>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn {
 
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn {
 
--- a/src/sites/sites.hpp
+++ b/src/sites/sites.hpp
@@ -15,7 +15,7 @@
 #include <span>
 #include <vector>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn {
 
--- a/src/timeline/event.hpp
+++ b/src/timeline/event.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <type_traits>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn {
 
--- a/src/versions/versions.hpp
+++ b/src/versions/versions.hpp
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn {
 
--- a/src/wire/text.hpp
+++ b/src/wire/text.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 #include "settings/settings.hpp"
 
 namespace yoketurn::wire {
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "brain.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn::test {
 
