--- a/src/clients/connection.hpp
+++ b/src/clients/connection.hpp
@@ -10,7 +10,7 @@
 
 #include "buffers/ring.hpp"
 #include "clients/bodies.hpp"
-#include "queries/due.hpp"
+#include "queries/timer_queue.hpp"
 #include "timeline/event.hpp"
 
 namespace yoketurn {
--- a/src/datanodes/connection.hpp
+++ b/src/datanodes/connection.hpp
@@ -11,7 +11,7 @@
 
 #include "buffers/ring.hpp"
 #include "datanodes/frames.hpp"
-#include "queries/due.hpp"
+#include "queries/timer_queue.hpp"
 #include "timeline/event.hpp"
 
 namespace yoketurn {
--- a/src/discovery/watch.hpp
+++ b/src/discovery/watch.hpp
@@ -16,7 +16,7 @@
 #include "buffers/ring.hpp"
 #include "discovery/list.hpp"
 #include "logging/log.hpp"
-#include "queries/due.hpp"
+#include "queries/timer_queue.hpp"
 
 namespace yoketurn {
 
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "routing_policy.hpp"
-#include "queries/due.hpp"
+#include "queries/timer_queue.hpp"
 #include "queries/witness.hpp"
 #include "sites/sites.hpp"
 
--- a/src/timeline/server.hpp
+++ b/src/timeline/server.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <set>
 
-#include "queries/due.hpp"
+#include "queries/timer_queue.hpp"
 #include "timeline/timeline.hpp"
 #include "versions/record.hpp"
 
