--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -9,7 +9,7 @@
 
 #include "routing_policy.hpp"
 #include "queries/timer_queue.hpp"
-#include "queries/witness.hpp"
+#include "queries/query_observer.hpp"
 #include "sites/sites.hpp"
 
 namespace yoketurn {
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "departures/departures.hpp"
-#include "queries/witness.hpp"
+#include "queries/query_observer.hpp"
 #include "sites/sites.hpp"
 #include "timeline/timeline.hpp"
 #include "versions/versions.hpp"
