--- a/src/policy/adaptive_routing_policy.cpp
+++ b/src/policy/adaptive_routing_policy.cpp
@@ -2,7 +2,7 @@
 // Interface: brain.hpp; the caller holds queries and timers. docs/design.md gives the reasons.
 #include "routing_policy.hpp"
 
-#include "estimates/judgements.hpp"
+#include "estimates/decision_trace.hpp"
 #include "policy/admission.hpp"
 #include "policy/relative_work.hpp"
 
