--- a/src/policy/adaptive_routing_policy.cpp
+++ b/src/policy/adaptive_routing_policy.cpp
@@ -1,32 +1,41 @@
-// The three questions: where a part goes and when it gets a copy, what follows an outcome, how long to wait.
-// Interface: brain.hpp; the caller holds queries and timers. docs/design.md gives the reasons.
-#include "routing_policy.hpp"
-
+// Decides where a part is sent and when it is copied, what follows from the outcome of a call, and how long
+// to wait. The interface is in routing_policy.hpp; the caller owns the queries and the timers. The reasons
+// behind the design are in docs/design.md.
+//
+// The rules that every send and every end keep to:
+//   1. Nothing is sent for a part that is answered, or for a query that has ended or whose deadline has
+//   passed.
+//   2. A part that may have run is not repeated beyond what its vertical's effect allows.
+//   3. A node that drains or was removed is sent nothing.
+//   4. A node in slow start is sent no more than the share of its capacity that it has already.
+//   5. An answer is merged as complete only if it is, and as partial only from the smallest allowed share on.
+//   6. Further calls of parts (copies and retries) stay within the retry budget.
 #include "estimates/decision_trace.hpp"
 #include "policy/admission.hpp"
 #include "policy/relative_work.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn {
 using namespace policy;
 namespace {
-constexpr double kTickIntervalSeconds = 0.1;  // of the periodic work
-constexpr double kMinRecheckSeconds = 0.01;   // after which a part that found no place is looked at again
-// Until a part goes again to a node that it has been to: what fails at once would spend all its calls there.
+constexpr double kTickIntervalSeconds = 0.1;
+constexpr double kMinRecheckSeconds = 0.01;  // until a part without a node is checked again
+// Until a part is sent again to a node it has been sent to. A part that fails at once would otherwise use up
+// all its calls there.
 constexpr double kMinRetryDelaySeconds = 0.05;
-constexpr double kMaxCopyShare = 0.1;         // copies to parts sent, at most
-constexpr double kCapacityDecaySeconds = 60;  // what nodes could do is forgotten with this time constant
-constexpr double kStandstillSeconds = 0.25;   // without any call of the module: the router itself stood still
-constexpr double kMaxLoadForWorkEstimate =
-    0.4;  // strain below which the time of quick answers tells of their work
-constexpr double kOtherZonePenalty =
-    0.001;  // by which a node elsewhere, at the same score, comes after one near by
-constexpr double kListRetrySeconds = 2;     // after a failed call for the list, on average
-constexpr double kListTimeoutSeconds = 10;  // and after one that has not been answered
+constexpr double kMaxCopyShare = 0.1;         // copies per part sent
+constexpr double kCapacityDecaySeconds = 60;  // time constant of the peak rate at which a node answers
+constexpr double kStandstillSeconds = 0.25;   // without any call of the policy: the router itself stood still
+// Load estimate below which the latency of quick answers is taken as their work.
+constexpr double kMaxLoadForWorkEstimate = 0.4;
+constexpr double kOtherZonePenalty = 0.001;  // on the score: prefers the own zone at equal scores
+constexpr double kListRetrySeconds = 2;      // mean delay after a failed request for the node list
+constexpr double kListTimeoutSeconds = 10;   // after an unanswered request for the node list
 
-void cancel_pending(Decision& answer, const Leaf& leaf, int index, Reason reason, double now) {
+void cancel_pending(Decision& decision, const Leaf& leaf, int index, Reason reason, double now) {
   for (std::size_t i = 0; i < leaf.calls.size(); ++i)
     if (leaf.calls[i].pending())
-      answer.cancels.push_back({index, static_cast<int>(i), explain(reason, now - leaf.calls[i].sent_at)});
+      decision.cancels.push_back({index, static_cast<int>(i), explain(reason, now - leaf.calls[i].sent_at)});
 }
 
 std::vector<double> slo_times(const Settings& settings) {
@@ -45,11 +54,12 @@
   std::ranlux24_base random;
   int next_batch = 0;
   WindowCounter parts_sent{kLatencyWindowSeconds}, copies_sent{kLatencyWindowSeconds};
-  WindowCounter parts_answered{kLatencyWindowSeconds};  // parts
-  WindowCounter requests_received, extra_calls;         // over the span of the budget
-  double last_tick_at, request_list_at;
-  double last_called_at;  // when the module was last called
-  double standstill = 0;  // for how long the router stood still before this round
+  WindowCounter parts_answered{kLatencyWindowSeconds};
+  WindowCounter requests_received, extra_calls;  // over the window of the retry budget
+  double last_tick_at;
+  double request_list_at;  // when to request the node list next; kNever: it is there
+  double last_called_at;   // when the policy was last called
+  double standstill = 0;   // how long the router stood still before this round; 0: it didn't
   DecisionTrace trace;
 
   State(const Settings& s, std::uint64_t seed, double now);
@@ -60,10 +70,11 @@
   void detect_standstill(double now);
   Explanation why_not_sendable(const Query& q, const Leaf& leaf, Node& node, double now);
   double resend_until(const Query& q, const Leaf& leaf);
-  int choose_node(const Query& q, int index, bool beside, double now, double& best, Explanation& because);
+  int choose_node(const Query& q, int index, bool has_pending_call, double now, double& best,
+                  Explanation& explanation);
   bool is_copy_due(const Query& q, const Leaf& leaf, double now);
   bool is_presumed_lost(const Query& q, const Leaf& leaf, double now);
-  void send_if_due(const Query& q, int index, Decision& answer, double now);
+  void send_if_due(const Query& q, int index, Decision& decision, double now);
   Send record_send(const Query& q, int leaf, int node, Explanation why, double now);
   Decision evaluate_end(const Query& q, double now);
   Decision reject_or_abort(const Query& q, Explanation why);
@@ -77,21 +88,23 @@
       relative_work(slo_times(s)),
       settings(s),
       random(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
-      requests_received(s.retry_budget_window -
-                        verticals.end_margin),  // a little short, and the further calls a little long:
-      extra_calls(s.retry_budget_window + verticals.end_margin),  // so that the budget holds in any window
+      // One window a little shorter and the other a little longer than the budget's, so that the budget holds
+      // in any window.
+      requests_received(s.retry_budget_window - verticals.end_margin),
+      extra_calls(s.retry_budget_window + verticals.end_margin),
       last_tick_at(now),
       request_list_at(now),
       last_called_at(now) {}
 
-// What a router that stood still reads at once must not pass for slow nodes, nor old queries for new ones.
+// A router that stood still reads everything that came meanwhile at once. Without the correction by
+// `standstill` it would take nodes for slow and old queries for new ones.
 void AdaptiveRoutingPolicy::State::detect_standstill(double now) {
   if (now <= last_called_at) return;
   standstill = now - last_called_at > kStandstillSeconds ? now - last_called_at - kTickIntervalSeconds : 0;
   last_called_at = now;
 }
 
-// The one guard that every send passes: why a part may not be sent to a node.
+// The check before every send. Returns why the part must not be sent to the node, Reason::none if it may be.
 Explanation AdaptiveRoutingPolicy::State::why_not_sendable(const Query& q, const Leaf& leaf, Node& node,
                                                            double now) {
   if (q.ended || leaf.answered || now >= verticals.final_deadline(q))
@@ -104,14 +117,15 @@
     return explain(Reason::slow_start, node.recent_work.recent(now),
                    nodes.slow_start.router_limit(node, now));
   if (leaf.attempts() > 0 && settings.retry_budget_window > 0) {  // rule 6
-    const auto most = settings.retry_budget_min + settings.retry_budget_ratio * requests_received.recent(now);
-    if (extra_calls.recent(now) + 1 > most)
-      return explain(Reason::retry_budget_spent, extra_calls.recent(now), most);
+    const auto max_extra_calls =
+        settings.retry_budget_min + settings.retry_budget_ratio * requests_received.recent(now);
+    if (extra_calls.recent(now) + 1 > max_extra_calls)
+      return explain(Reason::retry_budget_spent, extra_calls.recent(now), max_extra_calls);
   }
   return {};
 }
 
-// Rule 2: until when a part may be sent, or sent again.
+// Rule 2: the time until which a part may be sent or sent again.
 double AdaptiveRoutingPolicy::State::resend_until(const Query& q, const Leaf& leaf) {
   const auto& v = verticals.settings_of(q);
   if (v.effect == Effect::repeatable) return kNever;
@@ -122,59 +136,63 @@
              : 0;
 }
 
-// The node for a part, or why there is none.
-int AdaptiveRoutingPolicy::State::choose_node(const Query& q, int index, bool beside, double now,
-                                              double& best, Explanation& because) {
+// Chooses the node for a part. Returns kNone and the reason in `explanation` if there is none. `best` is the
+// score of the chosen node. has_pending_call: only nodes that the part hasn't been sent to are considered;
+// otherwise those it has been sent to come second.
+int AdaptiveRoutingPolicy::State::choose_node(const Query& q, int index, bool has_pending_call, double now,
+                                              double& best, Explanation& explanation) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
   int chosen = kNone;
-  double next = kNever;
+  double second_best = kNever;
   best = kNever;
-  because = explain(Reason::no_node_left);
-  const auto noted = trace.entries.size();
+  explanation = explain(Reason::no_node_left);
+  const auto trace_start = trace.entries.size();
   const auto tried = [&](int node) {
     return std::any_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& c) { return c.node == node; });
   };
-  for (const bool again : {false, true}) {
-    if (again && (beside || chosen != kNone)) break;
-    // All calls of a part could else be spent within ms at the one node that is left and turns them away.
+  for (const bool revisit : {false, true}) {
+    if (revisit && (has_pending_call || chosen != kNone)) break;
+    // Without the delay a part could use up all its calls within milliseconds at the only node that is left
+    // and refuses them.
     const auto paused_until =
         leaf.calls.empty()
             ? kNever
             : leaf.calls.back().sent_at + std::max(vertical_state(q).hedge_delay, kMinRetryDelaySeconds);
-    if (again && now < paused_until) {
-      if (!leaf.calls.empty() && because.reason == Reason::no_node_left)
-        because = explain(Reason::retry_delayed, paused_until - now);
+    if (revisit && now < paused_until) {
+      if (!leaf.calls.empty() && explanation.reason == Reason::no_node_left)
+        explanation = explain(Reason::retry_delayed, paused_until - now);
       break;
     }
     nodes.any_replica(leaf, [&](int i) {
       auto& node = node_at(i);
-      const auto other = tried(i) != again;
-      if (other && again) return false;
-      const auto bar = other ? explain(Reason::already_tried) : why_not_sendable(q, leaf, node, now);
-      const auto of_node = other || bar.reason == Reason::unavailable || bar.reason == Reason::slow_start;
-      if (of_node) trace.add(index, i, bar);
-      if (!of_node && bar.reason != Reason::none) because = bar;
-      if (bar.reason != Reason::none) return false;
-      const auto by_site = nodes.site_score_factor(node, leaf.calls.empty() && is_repeatable(q), random);
-      if (by_site <= 0)
+      const auto other = tried(i) != revisit;
+      if (other && revisit) return false;
+      const auto blocked = other ? explain(Reason::already_tried) : why_not_sendable(q, leaf, node, now);
+      const auto of_node =
+          other || blocked.reason == Reason::unavailable || blocked.reason == Reason::slow_start;
+      if (of_node) trace.add(index, i, blocked);
+      if (!of_node && blocked.reason != Reason::none) explanation = blocked;
+      if (blocked.reason != Reason::none) return false;
+      const auto site_factor = nodes.site_score_factor(node, leaf.calls.empty() && is_repeatable(q), random);
+      if (site_factor <= 0)
         return trace.add(index, i, explain(Reason::site_avoided, now - nodes.site_share(node)->lost_at)),
                false;
-      const auto shunned = nodes.is_avoided(node, now);
-      if (shunned)
+      const auto avoided = nodes.is_avoided(node, now);
+      if (avoided)
         trace.add(index, i,
                   explain(Reason::suspect, nodes.latency_estimate(node, now),
                           std::max(node.next_probe_at - now, 0.0),
                           static_cast<double>(node.pending_sent_at.size())));
-      // A further call at a node under suspicion would most likely be spent in vain and keep it full.
-      if (!leaf.calls.empty() && shunned) return false;
-      const auto value = by_site * nodes.score(node, now) *
+      // A further call at a suspect node would most likely be wasted and keep the node full.
+      if (!leaf.calls.empty() && avoided) return false;
+      const auto value = site_factor * nodes.score(node, now) *
                          (node.zone == nodes.zone ? 1 : 1 + kOtherZonePenalty) *
                          (1 + 1e-6 * static_cast<double>(random() % 1000));
       const auto better = value < best;
-      next = better ? best : std::min(next, value);
-      const auto loser = better ? chosen : i;
-      if (loser != kNone && !(shunned && loser == i))
-        trace.add(index, loser, explain(Reason::worse_score, next));
+      second_best = better ? best : std::min(second_best, value);
+      const auto passed_over = better ? chosen : i;
+      if (passed_over != kNone && !(avoided && passed_over == i))
+        trace.add(index, passed_over, explain(Reason::worse_score, second_best));
       if (better) {
         best = value;
         chosen = i;
@@ -182,8 +200,8 @@
       return false;
     });
   }
-  if (chosen != kNone) because = explain(Reason::none, best, next, vertical_state(q).hedge_delay);
-  trace.set_chosen(noted, chosen, best);
+  if (chosen != kNone) explanation = explain(Reason::none, best, second_best, vertical_state(q).hedge_delay);
+  trace.set_chosen(trace_start, chosen, best);
   return chosen;
 }
 
@@ -192,8 +210,9 @@
          now >= verticals.copy_at(q, leaf) - 1e-6 && now < verticals.slo_deadline(q);
 }
 
-// A part is sent again where each call that is out went to a site before its loss, or is too old to be slow
-// at a node that has done later ones or is suspect and silent; by age alone heavy parts would go again.
+// A part is sent again if each of its pending calls was sent to a site before the loss of the site, or is
+// older than lost_after at a node that has answered later parts or is suspect and silent. By age alone heavy
+// parts would be sent again.
 bool AdaptiveRoutingPolicy::State::is_presumed_lost(const Query& q, const Leaf& leaf, double now) {
   return settings.may_cancel && settings.may_copy &&
          std::all_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& call) {
@@ -206,38 +225,42 @@
          });
 }
 
-// Where a part that is not in goes now, if anywhere.
-void AdaptiveRoutingPolicy::State::send_if_due(const Query& q, int index, Decision& answer, double now) {
+// Sends an unanswered part if a first call, a copy or a retry is due and a node is available.
+void AdaptiveRoutingPolicy::State::send_if_due(const Query& q, int index, Decision& decision, double now) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
-  const auto out = leaf.any_pending();
+  const auto has_pending_call = leaf.any_pending();
   const auto sent = parts_sent.recent(now);
   const auto due = is_copy_due(q, leaf, now);
   const auto copy = due && copies_sent.recent(now) + 1 <= kMaxCopyShare * sent;
-  const auto again = out && !copy && is_presumed_lost(q, leaf, now);
-  if (out && !copy && !again)
+  const auto resend = has_pending_call && !copy && is_presumed_lost(q, leaf, now);
+  if (has_pending_call && !copy && !resend)
     return trace.add(index, kNone,
                      due ? explain(Reason::copy_budget_spent, copies_sent.recent(now), sent)
                          : explain(Reason::within_hedge_delay, now - leaf.calls.back().sent_at,
                                    vertical_state(q).hedge_delay));
-  Explanation because;
+  Explanation explanation;
   double best = 0;
-  const auto node = choose_node(q, index, out, now, best, because);
-  if (node == kNone) return trace.add(index, kNone, because);
-  // A copy helps where the other replica should answer within the delay that made this one late; when all are
-  // slow it adds to the load. A lost part goes where it should take less than it has waited.
-  const auto left = again && nodes.is_site_lost(node_at(leaf.calls.back().node));
-  const auto bound = left ? kNever : again ? now - leaf.calls.back().sent_at : vertical_state(q).hedge_delay;
-  if (out && best > bound) return trace.add(index, kNone, explain(Reason::no_faster_node, best, bound));
-  if (again) cancel_pending(answer, leaf, index, Reason::presumed_lost, now);
-  because.reason = copy                 ? Reason::copy
-                   : again              ? Reason::resent_lost
-                   : leaf.calls.empty() ? Reason::first_call
-                                        : Reason::resent_failed;
-  answer.sends.push_back(record_send(q, index, node, because, now));
+  const auto node = choose_node(q, index, has_pending_call, now, best, explanation);
+  if (node == kNone) return trace.add(index, kNone, explanation);
+  // A copy helps only if the other replica is expected to answer within the hedge delay; if all replicas are
+  // slow it just adds load. A lost part is sent where it should take less time than it has waited so far.
+  const auto site_lost = resend && nodes.is_site_lost(node_at(leaf.calls.back().node));
+  const auto bound = site_lost ? kNever
+                     : resend  ? now - leaf.calls.back().sent_at
+                               : vertical_state(q).hedge_delay;
+  if (has_pending_call && best > bound)
+    return trace.add(index, kNone, explain(Reason::no_faster_node, best, bound));
+  if (resend) cancel_pending(decision, leaf, index, Reason::presumed_lost, now);
+  explanation.reason = copy                 ? Reason::copy
+                       : resend             ? Reason::resent_lost
+                       : leaf.calls.empty() ? Reason::first_call
+                                            : Reason::resent_failed;
+  decision.sends.push_back(record_send(q, index, node, explanation, now));
 }
 
+// Updates the counters and the state of the node for a send.
 Send AdaptiveRoutingPolicy::State::record_send(const Query& q, int leaf_index, int node_index,
-                                               Explanation because, double now) {
+                                               Explanation explanation, double now) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
   auto& node = node_at(node_index);
   nodes.mark_active(node_index);
@@ -254,123 +277,129 @@
     parts_sent.add(now);
     if (leaf.work_hint > 0) verticals.mean_part_work.add(leaf.work_hint);
   }
-  if (because.reason == Reason::copy) copies_sent.add(now);
+  if (explanation.reason == Reason::copy) copies_sent.add(now);
   if (leaf.attempts() > 0) extra_calls.add(now);
   return {leaf_index,      node_index,
           node.open_batch, verticals.call_timeout(q, now),
-          because,         resend_until(q, leaf) - now};
+          explanation,     resend_until(q, leaf) - now};
 }
 
-Decision AdaptiveRoutingPolicy::State::reject_or_abort(const Query& q, Explanation because) {
-  Decision answer;
-  // Rule 2: a rejection says that a retry is harmless.
+Decision AdaptiveRoutingPolicy::State::reject_or_abort(const Query& q, Explanation explanation) {
+  Decision decision;
+  // Rule 2: a rejection tells the client that a retry is harmless.
   const auto harmless =
       verticals.settings_of(q).effect == Effect::repeatable ||
       std::all_of(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) {
         return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
       });
-  answer.query_end = harmless ? QueryEnd::reject : QueryEnd::abort;
-  answer.retry_after = settings.max_retry_after;
-  answer.explanation = because;
-  return answer;
+  decision.query_end = harmless ? QueryEnd::reject : QueryEnd::abort;
+  decision.retry_after = settings.max_retry_after;
+  decision.explanation = explanation;
+  return decision;
 }
 
-// Whether the query ends now, and how.
+// Whether the query ends now, and how (rule 5).
 Decision AdaptiveRoutingPolicy::State::evaluate_end(const Query& q, double now) {
   const auto& v = verticals.settings_of(q);
-  double in[2] = {0, 0};        // weight that is in, by step
-  double possible[2] = {0, 0};  // and that may still come
-  bool second_in = true;
+  double answered_weight[2] = {0, 0};  // by step
+  double possible_weight[2] = {0, 0};  // by step: answered or may still be answered
+  bool second_step_answered = true;
   for (const auto& leaf : q.leaves) {
     const auto step = leaf.step - 1;
-    if (leaf.answered) in[step] += leaf.weight;
-    second_in = second_in && (leaf.answered || leaf.step == 1);
-    const auto more =
+    if (leaf.answered) answered_weight[step] += leaf.weight;
+    second_step_answered = second_step_answered && (leaf.answered || leaf.step == 1);
+    const auto can_be_sent =
         leaf.calls.empty() || (leaf.attempts() < settings.max_calls && now < resend_until(q, leaf));
-    if (leaf.answered || leaf.any_pending() || more) possible[step] += leaf.weight;
+    if (leaf.answered || leaf.any_pending() || can_be_sent) possible_weight[step] += leaf.weight;
   }
-  if (q.parts_expected > 0) possible[q.step - 1] = 1;
-  Decision answer;
-  const auto now_in = in[q.step - 1], now_possible = possible[q.step - 1];
-  const auto whole =
-      q.step == 1 ? now_in >= v.complete_share - kWeightRounding : second_in && q.parts_expected == 0;
-  const auto enough = q.parts_expected == 0 && now_in >= v.min_merge_share - kWeightRounding &&
-                      (q.step == 1 || v.min_merge_share < v.complete_share || second_in);
-  if (whole) {
-    answer.query_end =
+  if (q.parts_expected > 0) possible_weight[q.step - 1] = 1;
+  Decision decision;
+  const auto answered_share = answered_weight[q.step - 1], possible_share = possible_weight[q.step - 1];
+  const auto complete = q.step == 1 ? answered_share >= v.complete_share - kWeightRounding
+                                    : second_step_answered && q.parts_expected == 0;
+  const auto mergeable = q.parts_expected == 0 && answered_share >= v.min_merge_share - kWeightRounding &&
+                         (q.step == 1 || v.min_merge_share < v.complete_share || second_step_answered);
+  if (complete) {
+    decision.query_end =
         q.step == 1 || q.first_step_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial;
-    answer.explanation = explain(Reason::complete, now_in);
-    return answer;
+    decision.explanation = explain(Reason::complete, answered_share);
+    return decision;
   }
-  const auto need = q.step == 1 ? v.complete_share : 1;
-  const auto settled = now_possible <= now_in + kWeightRounding;  // nothing more can come
-  const auto late = now >= verticals.slo_deadline(q);
-  const auto over = now >= verticals.final_deadline(q);
-  if (enough && (settled || over || (late && v.partial_utility * now_in > v.late_utility))) {
-    answer.query_end = QueryEnd::merge_partial;
-    answer.explanation = explain(Reason::partial, now_in);
-    return answer;
+  const auto step_share = q.step == 1 ? v.complete_share : 1;
+  const auto nothing_more_possible = possible_share <= answered_share + kWeightRounding;
+  const auto past_slo = now >= verticals.slo_deadline(q);
+  const auto past_deadline = now >= verticals.final_deadline(q);
+  if (mergeable && (nothing_more_possible || past_deadline ||
+                    (past_slo && v.partial_utility * answered_share > v.late_utility))) {
+    decision.query_end = QueryEnd::merge_partial;
+    decision.explanation = explain(Reason::partial, answered_share);
+    return decision;
   }
-  const auto least = v.min_merge_share < v.complete_share ? v.min_merge_share : need;
-  if (now_possible < least - kWeightRounding)
-    return reject_or_abort(q, explain(Reason::share_unreachable, now_in, now_possible));
-  if (over || (late && v.late_utility <= 0))
-    return reject_or_abort(q, explain(Reason::deadline_passed, now_in));
-  return answer;
+  const auto required_share = v.min_merge_share < v.complete_share ? v.min_merge_share : step_share;
+  if (possible_share < required_share - kWeightRounding)
+    return reject_or_abort(q, explain(Reason::share_unreachable, answered_share, possible_share));
+  if (past_deadline || (past_slo && v.late_utility <= 0))
+    return reject_or_abort(q, explain(Reason::deadline_passed, answered_share));
+  return decision;
 }
 
-// What an outcome tells of the node and of the latencies.
+// Updates the node, its path and its vertical from the outcome of a call.
 void AdaptiveRoutingPolicy::State::record_outcome(const Query& q, const Leaf& leaf, const Call& call,
                                                   double now) {
   auto& v = vertical_state(q);
   auto& node = node_at(call.node);
   nodes.mark_active(call.node);
-  const auto usual_step = verticals.usual_step_time(q);
+  const auto step_time = verticals.usual_step_time(q);
   const auto age = std::max(now - call.sent_at - standstill, 0.0);
-  const auto took = std::max(age - verticals.excess_work(leaf), age / 4);
+  const auto latency = std::max(age - verticals.excess_work(leaf), age / 4);
   if (const auto sent = node.pending_sent_at.find(call.sent_at); sent != node.pending_sent_at.end())
     node.pending_sent_at.erase(sent);
-  if (const auto sent = v.pending_parts.find({call.sent_at, usual_step, call.node});
+  if (const auto sent = v.pending_parts.find({call.sent_at, step_time, call.node});
       sent != v.pending_parts.end())
     v.pending_parts.erase(sent);
-  if (const auto group = node.pending_batches.find(call.batch);
-      group != node.pending_batches.end() && --group->second <= 0)
-    node.pending_batches.erase(group);
+  if (const auto batch = node.pending_batches.find(call.batch);
+      batch != node.pending_batches.end() && --batch->second <= 0)
+    node.pending_batches.erase(batch);
   if (call.outcome == Outcome::unsent) return;
-  // A connection takes along all that is out on it when it breaks or brings a spoilt answer: that counts
-  // once, or sound nodes are left out, and the others, with more on each connection, break the more.
-  const auto spoilt = call.outcome == Outcome::malformed;
-  if ((spoilt || call.outcome == Outcome::disconnected) && std::exchange(node.connection_lost_at, now) == now)
+  // When a connection breaks or brings a malformed answer, all calls pending on it end. They count as one
+  // failure: otherwise healthy nodes would become suspect, the others would get more calls per connection,
+  // and even more calls would end with each connection.
+  const auto malformed = call.outcome == Outcome::malformed;
+  if ((malformed || call.outcome == Outcome::disconnected) &&
+      std::exchange(node.connection_lost_at, now) == now)
     return;
-  const auto good = call.outcome == Outcome::success;
-  const auto bound = call.outcome == Outcome::cancelled || call.outcome == Outcome::timed_out;
-  if (!bound) node.last_answer_at = now;
-  if (bound && nodes.is_answer_lost(node, call.sent_at, now)) return;
-  if (good) node.latest_answered_sent_at = std::max(node.latest_answered_sent_at, call.sent_at);
-  // A full node is strain though it answers at once: a fleet that turns most parts away would look idle.
+  const auto success = call.outcome == Outcome::success;
+  const auto censored = call.outcome == Outcome::cancelled || call.outcome == Outcome::timed_out;
+  if (!censored) node.last_answer_at = now;
+  if (censored && nodes.is_answer_lost(node, call.sent_at, now)) return;
+  if (success) node.latest_answered_sent_at = std::max(node.latest_answered_sent_at, call.sent_at);
+  // A refusal by a full node counts as load although it comes at once: otherwise a fleet that refuses most
+  // parts would look idle.
   if (call.outcome == Outcome::overloaded) v.load_samples.add(now, {1, true});
-  // What a suspect node holds back tells of that node, not of the others.
-  if (good || (bound && !node.suspect && !nodes.is_site_lost(node))) {
-    v.part_latencies.add(now, {took, bound});
+  // Calls without an answer at a suspect node say something about that node only.
+  if (success || (censored && !node.suspect && !nodes.is_site_lost(node))) {
+    v.part_latencies.add(now, {latency, censored});
     if (node.zone != kNone)
-      nodes.paths[static_cast<std::size_t>(node.zone)].latencies.add(now, {took, bound});
-    v.load_samples.add(now, {age / usual_step, bound});
+      nodes.paths[static_cast<std::size_t>(node.zone)].latencies.add(now, {latency, censored});
+    v.load_samples.add(now, {age / step_time, censored});
   }
-  if (good) {
-    nodes.mean_latency.add(took);
+  if (success) {
+    nodes.mean_latency.add(latency);
     parts_answered.add(now);
     node.consecutive_failures = 0;
   } else {
     ++node.consecutive_failures;
   }
-  if (spoilt) return nodes.update_suspicion(node, now);
-  const auto held = nodes.decayed_latency(node, nodes.expected_latency(node, now), now);
-  // A quick failure counts as the time it costs, not the time it took: else the node would look fast and draw
-  // all traffic. A cancelled or overdue call took at least its age.
-  const auto value = good ? took : bound ? std::max(took, held) : std::max(v.settings.slo_time, held);
+  if (malformed) return nodes.update_suspicion(node, now);
+  const auto decayed = nodes.decayed_latency(node, nodes.expected_latency(node, now), now);
+  // A failure counts as the time it costs the query, not the time it took: otherwise a node that fails
+  // quickly would look fast and attract all traffic. A cancelled or timed out call took at least its age.
+  const auto value = success    ? latency
+                     : censored ? std::max(latency, decayed)
+                                : std::max(v.settings.slo_time, decayed);
   if (!nodes.is_site_lost(node)) nodes.mean_cost.add(value);
   nodes.report_to_peers(call.node, value);
-  nodes.record_latency(node, value, good, now);
+  nodes.record_latency(node, value, success, now);
 }
 
 AdaptiveRoutingPolicy::AdaptiveRoutingPolicy(const Settings& settings, std::uint64_t seed, double now)
@@ -382,27 +411,27 @@
   s.detect_standstill(now);
   s.trace.entries.clear();
   if (!q.admitted) s.admission.adjust_received_at(q, s.vertical_state(q), s.standstill, now);
-  auto answer = s.evaluate_end(q, now);
-  if (answer.query_end == QueryEnd::merge_complete || answer.query_end == QueryEnd::merge_partial ||
-      (answer.query_end != QueryEnd::none && q.admitted)) {
-    const auto bound = answer.query_end == QueryEnd::reject || answer.query_end == QueryEnd::abort;
-    if (bound || q.step == 2 || s.verticals.step_count(q) == 1)
-      s.vertical_state(q).query_durations.add(now, {now - q.received_at, bound});
+  auto decision = s.evaluate_end(q, now);
+  if (decision.query_end == QueryEnd::merge_complete || decision.query_end == QueryEnd::merge_partial ||
+      (decision.query_end != QueryEnd::none && q.admitted)) {
+    const auto unanswered = decision.query_end == QueryEnd::reject || decision.query_end == QueryEnd::abort;
+    if (unanswered || q.step == 2 || s.verticals.step_count(q) == 1)
+      s.vertical_state(q).query_durations.add(now, {now - q.received_at, unanswered});
   }
-  if (answer.query_end != QueryEnd::none || q.parts_expected > 0) return answer;
+  if (decision.query_end != QueryEnd::none || q.parts_expected > 0) return decision;
   if (!q.admitted) {
-    const auto refused = q.forced_rejection != Reason::none
+    const auto refusal = q.forced_rejection != Reason::none
                              ? explain(q.forced_rejection)
                              : s.admission.decide_refusal(q, s.verticals, s.nodes, s.random, now);
-    if (refused.reason != Reason::none) return s.reject_or_abort(q, refused);
+    if (refusal.reason != Reason::none) return s.reject_or_abort(q, refusal);
   }
   if (!q.admitted)
     for (const auto& leaf : q.leaves)
       if (leaf.work_hint > 0) s.relative_work.record_hint(q.vertical, leaf.work_hint);
   q.admitted = true;
   for (std::size_t i = 0; i < q.leaves.size(); ++i)
-    if (!q.leaves[i].answered) s.send_if_due(q, static_cast<int>(i), answer, now);
-  return answer;
+    if (!q.leaves[i].answered) s.send_if_due(q, static_cast<int>(i), decision, now);
+  return decision;
 }
 Decision AdaptiveRoutingPolicy::on_call_ended(Query& q, int leaf_index, int call_index, double now) {
   auto& s = *state_;
@@ -411,11 +440,11 @@
   auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
   const auto& call = leaf.calls[static_cast<std::size_t>(call_index)];
   s.record_outcome(q, leaf, call, now);
-  Decision answer;
-  if (call.outcome != Outcome::success || leaf.answered) return answer;
+  Decision decision;
+  if (call.outcome != Outcome::success || leaf.answered) return decision;
   leaf.answered = true;
-  if (s.settings.may_cancel) cancel_pending(answer, leaf, leaf_index, Reason::race_lost, now);
-  return answer;
+  if (s.settings.may_cancel) cancel_pending(decision, leaf, leaf_index, Reason::race_lost, now);
+  return decision;
 }
 double AdaptiveRoutingPolicy::time_to_next_check(const Query& q, double now) const {
   auto& s = *state_;
@@ -433,16 +462,18 @@
 void AdaptiveRoutingPolicy::on_requests_received(int requests, double now) {
   state_->requests_received.add(now, requests);
 }
-// Only what discovery says ends the asking: taken for it, the list known last led to drained nodes.
-void AdaptiveRoutingPolicy::update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told) {
-  state_->nodes.update_nodes(hosts, complete);
-  if (told) state_->request_list_at = kNever;
+// Only a list from discovery ends the requests for it. When the list kept from before the start ended them
+// too, parts were sent to drained nodes.
+void AdaptiveRoutingPolicy::update_nodes(std::span<const DiscoveredNode> nodes, bool complete,
+                                         bool from_discovery) {
+  state_->nodes.update_nodes(nodes, complete);
+  if (from_discovery) state_->request_list_at = kNever;
 }
 void AdaptiveRoutingPolicy::remove_node(int node) {
   state_->nodes.remove_node(node);
 }
 void AdaptiveRoutingPolicy::on_node_list_failed(double now) {
-  // Many routers that were turned away together must not come back together.
+  // Random, so that routers whose requests failed at the same time don't retry at the same time.
   state_->request_list_at =
       now + kListRetrySeconds * std::uniform_real_distribution<>(0.5, 1.5)(state_->random);
 }
@@ -451,7 +482,7 @@
   s.detect_standstill(now);
   if (s.standstill > 0) return false;
   s.verticals.update_estimates(now, s.last_tick_at, s.nodes);
-  // Under strain answers tell of the wait at the nodes, not of their work.
+  // Under load the latency of answers shows the queueing at the nodes, not the work of the parts.
   if (s.verticals.load_estimate < kMaxLoadForWorkEstimate)
     for (std::size_t i = 0; i < s.verticals.all.size(); ++i)
       if (const auto quick = s.verticals.all[i].quick_latency; quick > 0)
@@ -459,14 +490,15 @@
   s.nodes.compare_paths(now, s.last_tick_at);
   s.last_tick_at = now;
   s.nodes.tick(now);
-  // Where routers refuse, nodes answer less than they could: cold nodes stood idle beside full ones.
+  // The peak rate decays slowly: while routers refuse queries the nodes answer fewer parts than they could,
+  // and by the current rate nodes in slow start would be idle beside full ones.
   const auto rate =
       s.nodes.nodes_up > 0 ? s.parts_answered.recent(now) / kLatencyWindowSeconds / s.nodes.nodes_up : 0;
   s.nodes.slow_start.node_answer_rate = std::max(
       rate, s.nodes.slow_start.node_answer_rate * std::exp(-kTickIntervalSeconds / kCapacityDecaySeconds));
-  const auto ask = s.settings.must_request_node_list && now >= s.request_list_at;
-  if (ask) s.request_list_at = now + kListTimeoutSeconds;
-  return ask;
+  const auto request_list = s.settings.must_request_node_list && now >= s.request_list_at;
+  if (request_list) s.request_list_at = now + kListTimeoutSeconds;
+  return request_list;
 }
 double AdaptiveRoutingPolicy::tick_interval() const {
   return kTickIntervalSeconds;
@@ -474,8 +506,8 @@
 std::vector<PeerReport> AdaptiveRoutingPolicy::take_peer_reports() {
   return std::exchange(state_->nodes.peer_reports, {});
 }
-void AdaptiveRoutingPolicy::on_peer_report(PeerReport word, double now) {
-  state_->nodes.on_peer_report(word, now);
+void AdaptiveRoutingPolicy::on_peer_report(PeerReport report, double now) {
+  state_->nodes.on_peer_report(report, now);
 }
 void AdaptiveRoutingPolicy::set_site_shares(std::span<const SiteShare> sites) {
   state_->nodes.set_site_shares(sites);
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -2,46 +2,47 @@
 
 namespace yoketurn::policy {
 namespace {
-constexpr double kRefusalStartLoad =
-    0.5;  // part latency to the time a step has above which queries are refused
-constexpr double kRefusalLoadRange = 0.35;  // and by how much above that the most are
+constexpr double kRefusalStartLoad = 0.5;   // predicted load above which queries are refused
+constexpr double kRefusalLoadRange = 0.35;  // above that, until the refusal probability has its maximum
 constexpr double kNoRetryAfterSlack =
-    0.15;  // by which that starts later where a refused client is back at once
+    0.15;  // refusal starts later by this where refused clients retry at once
 constexpr double kMaxRefusalChance = 0.99;
-constexpr double kPriorSuccesses = 0.5;  // queries that are taken for answered in time before any are known
-constexpr double kMinExpectedUtility = 0.3;  // prospect below which queries are refused without strain
-constexpr double kRetryElapsedShare = 0.7;   // tries' times taken to have passed before a marked retry
+constexpr double kPriorSuccesses = 0.5;      // queries counted as answered in time before any are known
+constexpr double kMinExpectedUtility = 0.3;  // share below which queries are refused at any load
+// Share of a try's time that is assumed to have passed before a query marked as a retry.
+constexpr double kRetryElapsedShare = 0.7;
 }  // namespace
 
 Admission::Admission(const Settings& s, double now)
     : over_quota_utility(s.over_quota_utility),
       utility_by_work(s.utility_by_work),
       refusal_start_load(s.max_retry_after > 0 ? kRefusalStartLoad : kRefusalStartLoad + kNoRetryAfterSlack) {
-  for (const auto& c : s.customers)
-    customer_buckets.push_back({c.quota / s.router_count, c.quota / s.router_count, now});
+  for (const auto& customer : s.customers)
+    customer_buckets.push_back({customer.quota / s.router_count, customer.quota / s.router_count, now});
 }
 
-// The share of its utility that a query can be expected to earn in its time, by how long others of late took.
+// Estimated from the durations of recent queries.
 double Admission::expected_utility_share(const Query& q, Verticals& verticals, double now) {
   auto& v = verticals.state_of(q);
-  auto times = v.query_durations.recent(now);
-  // The SLO time runs from the client's first try, of which a later one tells nothing but that it was.
-  const auto used = q.client_retry ? kRetryElapsedShare * (q.deadline - q.received_at) : 0;
-  const auto in_time = probability_within(times, verticals.slo_deadline(q) - used - now);
-  const auto late = std::max(0.0, probability_within(times, verticals.final_deadline(q) - now) - in_time);
-  const auto many = static_cast<double>(times.size());
-  return (many * (in_time + v.settings.late_utility * late) + kPriorSuccesses) / (many + kPriorSuccesses);
+  auto durations = v.query_durations.recent(now);
+  // The SLO time runs from the client's first try. Of that a retry only says that there was one.
+  const auto elapsed = q.client_retry ? kRetryElapsedShare * (q.deadline - q.received_at) : 0;
+  const auto in_time = probability_within(durations, verticals.slo_deadline(q) - elapsed - now);
+  const auto late = std::max(0.0, probability_within(durations, verticals.final_deadline(q) - now) - in_time);
+  const auto count = static_cast<double>(durations.size());
+  return (count * (in_time + v.settings.late_utility * late) + kPriorSuccesses) / (count + kPriorSuccesses);
 }
 
 bool Admission::enough_parts_reachable(const Query& q, const Verticals& verticals, Nodes& nodes, double now) {
-  double reach = 0;
+  double reachable = 0;
   for (const auto& leaf : q.leaves)
     if (nodes.any_replica(leaf, [&](int i) { return nodes.is_reachable(nodes.at(i), now); }))
-      reach += leaf.weight;
-  return reach >= verticals.settings_of(q).min_merge_share - kWeightRounding;
+      reachable += leaf.weight;
+  return reachable >= verticals.settings_of(q).min_merge_share - kWeightRounding;
 }
 
-// A query that waited while the router stood still was asked earlier, by what its client leaves it less.
+// While the router stood still the query's time passed: the less time it has left compared with other queries
+// of its vertical, the earlier it was sent.
 void Admission::adjust_received_at(Query& q, VerticalState& v, double standstill, double now) {
   const auto left = q.deadline - now;
   if (standstill > 0) {
@@ -53,11 +54,11 @@
 }
 
 Explanation Admission::decide_refusal(const Query& q, Verticals& verticals, Nodes& nodes,
-                                      std::ranlux24_base& chance, double now) {
+                                      std::ranlux24_base& random, double now) {
   auto& v = verticals.state_of(q);
-  const auto& part_work = verticals.mean_part_work;
+  const auto& mean_part_work = verticals.mean_part_work;
   double work = q.work_hint;
-  if (work <= 0) work = (part_work > 0 ? part_work : 1.0) * static_cast<double>(q.leaves.size());
+  if (work <= 0) work = (mean_part_work > 0 ? mean_part_work : 1.0) * static_cast<double>(q.leaves.size());
   v.mean_query_work.add(work);
   verticals.mean_query_parts.add(static_cast<double>(q.leaves.size()));
   auto density = v.settings.utility / (utility_by_work ? v.mean_query_work : work);
@@ -69,29 +70,30 @@
     if (bucket.tokens < 1) density *= over_quota_utility;
     if (bucket.tokens >= 1) --bucket.tokens;
   }
-  // A query with hardly a chance in its time sinks work for nothing, and its client asks again.
-  const auto reached = enough_parts_reachable(q, verticals, nodes, now);
-  const auto hope = reached ? expected_utility_share(q, verticals, now) : 0;
-  density *= hope;
+  // A query that is unlikely to be answered in its time wastes work, and its client sends it again.
+  const auto reachable = enough_parts_reachable(q, verticals, nodes, now);
+  const auto expected_utility = reachable ? expected_utility_share(q, verticals, now) : 0;
+  density *= expected_utility;
   mean_utility_density.add(density);
-  // By Little's law latency grows with what is out. Answers tell of queries sent before a burst, and let it
-  // in.
+  // By Little's law latency grows with the number of pending parts. Answers only show the load of queries
+  // sent before a burst: by them alone the burst would be admitted.
   const auto parts = static_cast<double>(q.leaves.size());
-  const auto usual =
+  const auto usual_pending =
       std::max({verticals.typical_pending, parts, nodes.nodes_up});  // a part for each node is no load
-  const auto foretold = verticals.load_estimate *
-                        std::max(1.0, (verticals.recent_pending(now) + parts) / usual) *
-                        verticals.usual_step_time(q) / verticals.step_time(q);
-  const auto refused =
-      std::clamp((foretold - refusal_start_load) / kRefusalLoadRange, 0.0, kMaxRefusalChance);
-  const auto share =
-      std::max(std::min(refused * mean_utility_density / std::max(density, 1e-9), kMaxRefusalChance),
-               1 - hope / kMinExpectedUtility);
-  const auto refuses = std::uniform_real_distribution<>(0, 1)(chance) < share;
-  const auto reason = !refuses                                  ? Reason::none
-                      : !reached                                ? Reason::too_few_reachable
-                      : 1 - hope / kMinExpectedUtility >= share ? Reason::unlikely_in_time
-                                                                : Reason::overloaded;
-  return explain(reason, foretold, hope, share);
+  const auto predicted_load = verticals.load_estimate *
+                              std::max(1.0, (verticals.recent_pending(now) + parts) / usual_pending) *
+                              verticals.usual_step_time(q) / verticals.step_time(q);
+  const auto base_chance =
+      std::clamp((predicted_load - refusal_start_load) / kRefusalLoadRange, 0.0, kMaxRefusalChance);
+  const auto refusal_chance =
+      std::max(std::min(base_chance * mean_utility_density / std::max(density, 1e-9), kMaxRefusalChance),
+               1 - expected_utility / kMinExpectedUtility);
+  const auto refuse = std::uniform_real_distribution<>(0, 1)(random) < refusal_chance;
+  const auto reason = !refuse      ? Reason::none
+                      : !reachable ? Reason::too_few_reachable
+                      : 1 - expected_utility / kMinExpectedUtility >= refusal_chance
+                          ? Reason::unlikely_in_time
+                          : Reason::overloaded;
+  return explain(reason, predicted_load, expected_utility, refusal_chance);
 }
 }  // namespace yoketurn::policy
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,4 +1,4 @@
-// Which queries are refused before work is sunk into them.
+// Admission control: which queries are refused before any part is sent.
 #pragma once
 
 #include <random>
@@ -8,7 +8,7 @@
 namespace yoketurn::policy {
 
 struct TokenBucket {
-  double tokens_per_second = 0;  // this router's part of the customer's share
+  double tokens_per_second = 0;  // this router's share of the customer's quota
   double tokens = 0;
   double refilled_at = 0;
 };
@@ -19,15 +19,20 @@
   std::vector<TokenBucket> customer_buckets;
   double over_quota_utility;
   bool utility_by_work;
-  double refusal_start_load;  // foretold part latency to the time of a step from which queries are refused
-  SmoothedMean mean_utility_density{kMeanSampleWeight};  // utility for a unit of work, over all queries
+  double refusal_start_load;  // predicted load (part latency / time of a step) from which queries are refused
+  SmoothedMean mean_utility_density{kMeanSampleWeight};  // utility per unit of work, over all queries
 
+  // Sets back the receive time of a query that waited while the router stood still. standstill: how long, in
+  // seconds.
   static void adjust_received_at(Query& q, VerticalState& v, double standstill, double now);
+  // The share of its utility that a query can be expected to earn in its time.
   static double expected_utility_share(const Query& q, Verticals& verticals, double now);
-  // Whether enough of its parts have a replica that is not shunned. The others would do work for nothing.
+  // Whether enough parts of the query have a reachable replica to be merged. If not, the work of the others
+  // would be wasted.
   static bool enough_parts_reachable(const Query& q, const Verticals& verticals, Nodes& nodes, double now);
-  // Refusal by chance under strain: the less utility for its work, the likelier. Reason::none: it is taken.
-  Explanation decide_refusal(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance,
+  // Refuses queries at random when the nodes are overloaded, the less utility for its work the more likely.
+  // Reason::none: the query is admitted.
+  Explanation decide_refusal(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& random,
                              double now);
 };
 }  // namespace yoketurn::policy
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -2,29 +2,35 @@
 
 namespace yoketurn::policy {
 namespace {
-constexpr double kLatencySampleWeight = 0.2;  // weight of a new sample in a node's latency
-constexpr double kLatencyDecaySeconds =
-    5;                                  // a silent node's latency nears the average with this time constant
-constexpr double kQuickQuantile = 0.2;  // quantile of a zone's quick answers
-constexpr double kSlowPathLatencies = 1.0;    // average latencies by which these come later over a slow way
-constexpr int kSuspectAfterFailures = 3;      // bad outcomes in a row after which a node is suspect
-constexpr double kSilenceLatencies = 3;       // average latencies without any answer after which it is too
-constexpr std::size_t kMaxPeerParts = 1000;   // parts of others that are held of a node
-constexpr double kPeerPartsKeptSeconds = 10;  // for so long
-constexpr double kPeerTimeSlack = 1.1;  // by which what is told may differ from what was heard of its start
-constexpr double kMinProbeIntervalSeconds = 1;  // until a suspect node is tried again
+constexpr double kLatencySampleWeight = 0.2;  // of a new sample in a node's smoothed latency
+// Time constant with which the latency of a silent node decays to the expected one.
+constexpr double kLatencyDecaySeconds = 5;
+constexpr double kQuickQuantile = 0.2;  // of a zone's latencies: its quick answers
+// A path is slow when its quick answers come later than the nearest zone's by this multiple of the mean
+// latency.
+constexpr double kSlowPathLatencies = 1.0;
+constexpr int kSuspectAfterFailures = 3;  // in a row
+// A node is suspect too after this multiple of the mean latency without an answer to a pending part.
+constexpr double kSilenceLatencies = 3;
+constexpr std::size_t kMaxPeerParts = 1000;  // pending parts of other routers that are tracked per node
+constexpr double kPeerPartsKeptSeconds = 10;
+// The latency that a peer reports may exceed the time since its report of the send by this factor.
+constexpr double kPeerTimeSlack = 1.1;
+constexpr double kMinProbeIntervalSeconds = 1;
 constexpr double kMaxProbeIntervalSeconds = 16;
-constexpr double kAvoidedScoreFactor = 10;  // on the score of a suspect node that has a part already
-constexpr double kReducedSiteScoreFactor =
-    1e3;  // on the score of a node whose site gets a share only; a trial the less
-constexpr double kJoinedCallCost = 0.5;  // of a call: a part that joins one that stands open
-constexpr double kBusyShare = 0.5;  // of what a warm node could do, taken to be what it does at the busiest
-constexpr double kMaxTokens = 4;    // parts that a cold node can be sent in a row where they are spaced out
-constexpr double kLimitDeviations =
-    1;  // standard deviations of what a cold node is sent that stay under the rule
-constexpr double kHeavyPartDeviations = 4;  // and of heavy parts alone that stay under what makes it fall
+constexpr double kAvoidedScoreFactor = 10;  // on the score of a suspect node outside its probes
+// On the score of a node whose site's share is used up; the score of a site's probe is divided by it.
+constexpr double kReducedSiteScoreFactor = 1e3;
+constexpr double kJoinedCallCost = 0.5;  // of a part that joins an open batch; a call of its own costs 1
+constexpr double kBusyShare = 0.5;       // share of its capacity that a node is assumed to use at its busiest
+constexpr double kMaxTokens = 4;         // parts that a node in slow start may be sent in a row
+// The work sent to a node in slow start stays this many standard deviations below total_limit().
+constexpr double kLimitDeviations = 1;
+// Heavy parts alone stay this many standard deviations below what overloads the node.
+constexpr double kHeavyPartDeviations = 4;
 
-// The mean of a sum of independent single parts that, with so many standard deviations, stays under a bound.
+// The largest mean of a sum of independent parts (Poisson) that stays this many standard deviations below the
+// bound.
 double mean_under(double bound, double deviations) {
   if (bound <= 0) return 0;
   const auto root = (std::sqrt(deviations * deviations + 4 * bound) - deviations) / 2;
@@ -39,54 +45,54 @@
       overload_time(s.overload_time),
       router_count(std::max(s.router_count, 1)) {}
 
-// The least share of its capacity that a node has, by its start and the slowest ramp.
 double SlowStart::capacity_share(const Node& node, double now) const {
   return applies_to(node, now)
              ? start_capacity + (1 - start_capacity) * std::max(0.0, now - node.started_at) / duration
              : 1;
 }
 
-// What a node answers this router on average stands for this router's share of a node's capacity.
+// The rate at which an average node answers this router stands for this router's share of a node's capacity.
 double SlowStart::total_limit(const Node& node, double now) const {
   return node_answer_rate * capacity_share(node, now) * overload_ratio * overload_time * router_count;
 }
 
-// Each router sends by itself, so the sum of all is a matter of chance: of few parts less of the figure can
-// be used.
+// The routers send independently, so the sum of what they send varies. The fewer parts the limit allows, the
+// smaller the share of it that can be used.
 double SlowStart::router_limit(const Node& node, double now) const {
   return std::max(mean_under(total_limit(node, now), kLimitDeviations), 1.0) / router_count;
 }
 
-// Routers that send heavy parts independently add up to more than the mean work the more often the fewer of
-// them fit: a heavy part costs as much more than its work as the rate must be lower at which the chance sum
-// of such parts stays below what makes a node fall.
+// The fewer heavy parts fit below the limit, the more often routers that send them independently exceed it.
+// So a heavy part costs more than its work: by the factor by which the rate of such parts must be lower for
+// their random sum to stay below the work that overloads the node.
 double SlowStart::token_cost(const Node& node, double work, double now) const {
   if (work <= 1) return work;
   const auto allowed = total_limit(node, now);
-  const auto falls = allowed + 2 * std::sqrt(allowed) + 2;
-  const auto of_mean_work = mean_under(falls - 1, kHeavyPartDeviations);
-  const auto of_this_work = mean_under(falls / work - 1, kHeavyPartDeviations);
-  return of_this_work > 0 ? std::max(of_mean_work / of_this_work, work) : kNever;
+  const auto overload_work = allowed + 2 * std::sqrt(allowed) + 2;
+  const auto max_mean_work = mean_under(overload_work - 1, kHeavyPartDeviations);
+  const auto max_this_work = mean_under(overload_work / work - 1, kHeavyPartDeviations);
+  return max_this_work > 0 ? std::max(max_mean_work / max_this_work, work) : kNever;
 }
 
-// Space that is not used is kept, up to so much.
-void SlowStart::refill_tokens(Node& node, double most_saved, double now) const {
+// Unused tokens are kept, up to max_tokens.
+void SlowStart::refill_tokens(Node& node, double max_tokens, double now) const {
   if (node.tokens_updated_at >= node.started_at)
     node.tokens += (now - node.tokens_updated_at) * router_limit(node, now) / overload_time;
-  node.tokens = std::min(node.tokens, most_saved);
+  node.tokens = std::min(node.tokens, max_tokens);
   node.tokens_updated_at = now;
 }
 
-// What costs more than a window's share is spaced out. A query's neighbouring parts meet at one node: space
-// is saved, from anywhere in it on, as one part from each router at once would be too much.
-bool SlowStart::allows(Node& node, double work, double now, std::ranlux24_base& chance) const {
-  const auto window = router_limit(node, now);
-  const auto needed = token_cost(node, work, now);
-  if (window >= 1 && needed <= window) return node.recent_work.recent(now) + needed <= window;
+// A part that costs more than the limit of a window has to wait for tokens. Tokens are saved up because
+// several parts of one query go to the same node. A newly started node begins with a random number of tokens:
+// one part from each router at once would overload it.
+bool SlowStart::allows(Node& node, double work, double now, std::ranlux24_base& random) const {
+  const auto limit = router_limit(node, now);
+  const auto cost = token_cost(node, work, now);
+  if (limit >= 1 && cost <= limit) return node.recent_work.recent(now) + cost <= limit;
   if (node.tokens_updated_at < node.started_at)
-    node.tokens = std::uniform_real_distribution<>(0, kMaxTokens - 1)(chance);
-  refill_tokens(node, std::max(kMaxTokens, needed), now);
-  return node.tokens >= std::max(needed, 1.0);
+    node.tokens = std::uniform_real_distribution<>(0, kMaxTokens - 1)(random);
+  refill_tokens(node, std::max(kMaxTokens, cost), now);
+  return node.tokens >= std::max(cost, 1.0);
 }
 
 void SlowStart::record_sent(Node& node, double work, double now) const {
@@ -110,48 +116,48 @@
   return node;
 }
 
-void Nodes::update_nodes(std::span<const DiscoveredNode> hosts, bool complete) {
+void Nodes::update_nodes(std::span<const DiscoveredNode> listed, bool complete) {
   if (complete) {
     for (auto& node : all) node.up = false;
     listed_nodes_up = 0;
   }
-  for (const auto& host : hosts) {
-    if (host.cell < 0 || host.cell >= cell_count) continue;
-    if (static_cast<std::size_t>(host.node) >= all.size()) {
-      all.resize(static_cast<std::size_t>(host.node) + 1, new_node());
+  for (const auto& entry : listed) {
+    if (entry.cell < 0 || entry.cell >= cell_count) continue;
+    if (static_cast<std::size_t>(entry.node) >= all.size()) {
+      all.resize(static_cast<std::size_t>(entry.node) + 1, new_node());
       active.resize(all.size(), false);
     }
-    auto& node = at(host.node);
-    mark_active(host.node);
-    auto& cell = by_cell[static_cast<std::size_t>(host.cell)];
-    if (std::find(cell.begin(), cell.end(), host.node) == cell.end()) {
-      std::erase(by_cell[static_cast<std::size_t>(node.cell)], host.node);
-      cell.push_back(host.node);
+    auto& node = at(entry.node);
+    mark_active(entry.node);
+    auto& cell = by_cell[static_cast<std::size_t>(entry.cell)];
+    if (std::find(cell.begin(), cell.end(), entry.node) == cell.end()) {
+      std::erase(by_cell[static_cast<std::size_t>(node.cell)], entry.node);
+      cell.push_back(entry.node);
     }
-    node.cell = host.cell;
-    node.zone = host.zone;
-    paths.resize(std::max(paths.size(), static_cast<std::size_t>(host.zone + 1)));
-    listed_nodes_up += static_cast<int>(host.up) - static_cast<int>(node.up);
-    node.up = host.up;
-    if (host.started_at != node.started_at) {
-      node.smoothed_latency = 0;  // a new process: what was learned of the old one says nothing
+    node.cell = entry.cell;
+    node.zone = entry.zone;
+    paths.resize(std::max(paths.size(), static_cast<std::size_t>(entry.zone + 1)));
+    listed_nodes_up += static_cast<int>(entry.up) - static_cast<int>(node.up);
+    node.up = entry.up;
+    if (entry.started_at != node.started_at) {
+      node.smoothed_latency = 0;  // a new process: the samples of the old one don't apply
       node.consecutive_failures = 0;
       node.peer_latency = 0;
       node.peer_sent_at.clear();
     }
-    node.started_at = host.started_at;
+    node.started_at = entry.started_at;
   }
 }
 
 void Nodes::remove_node(int node) {
-  if (static_cast<std::size_t>(node) >= all.size()) return;  // its cell made no sense: it was never known
-  auto& known = at(node);
-  std::erase(by_cell[static_cast<std::size_t>(known.cell)], node);
-  listed_nodes_up -= static_cast<int>(known.up);
-  known = new_node();
+  if (static_cast<std::size_t>(node) >= all.size()) return;  // never added, as its cell was out of range
+  auto& removed = at(node);
+  std::erase(by_cell[static_cast<std::size_t>(removed.cell)], node);
+  listed_nodes_up -= static_cast<int>(removed.up);
+  removed = new_node();
 }
 
-// What a node is taken for without any news of its own: the average, or nearer to what others lately found.
+// The mean over all nodes, or closer to what other routers have reported recently.
 double Nodes::expected_latency(const Node& node, double now) const {
   const auto base = std::max<double>(mean_latency, mean_cost) +
                     (node.zone == kNone ? 0 : paths[static_cast<std::size_t>(node.zone)].extra_delay);
@@ -160,42 +166,42 @@
                                : base;
 }
 
-// What others tell is evidence that ages; it clears no suspicion.
-void Nodes::on_peer_report(PeerReport word, double now) {
-  if (static_cast<std::size_t>(word.node) >= all.size()) return;
-  auto& node = at(word.node);
-  mark_active(word.node);
-  if (word.latency <= 0)
+// The reported latency loses weight with age, and it doesn't end a node's suspect state.
+void Nodes::on_peer_report(PeerReport report, double now) {
+  if (static_cast<std::size_t>(report.node) >= all.size()) return;
+  auto& node = at(report.node);
+  mark_active(report.node);
+  if (report.latency <= 0)
     return node.peer_sent_at.size() < kMaxPeerParts ? void(node.peer_sent_at.insert(now)) : void();
-  const auto sent = node.peer_sent_at.lower_bound(now - kPeerTimeSlack * word.latency);
+  const auto sent = node.peer_sent_at.lower_bound(now - kPeerTimeSlack * report.latency);
   if (sent != node.peer_sent_at.end()) node.peer_sent_at.erase(sent);
   node.peer_latency = node.peer_latency > 0
-                          ? node.peer_latency + kLatencySampleWeight * (word.latency - node.peer_latency)
-                          : word.latency;
+                          ? node.peer_latency + kLatencySampleWeight * (report.latency - node.peer_latency)
+                          : report.latency;
   node.peer_latency_at = now;
 }
 
-// A node's smoothed latency, which nears the usual one while it is silent.
-double Nodes::decayed_latency(const Node& node, double usual, double now) const {
+double Nodes::decayed_latency(const Node& node, double expected, double now) const {
   return node.smoothed_latency > 0
-             ? usual + (node.smoothed_latency - usual) *
-                           std::exp(-(now - node.latency_updated_at) / kLatencyDecaySeconds)
-             : usual;
+             ? expected + (node.smoothed_latency - expected) *
+                              std::exp(-(now - node.latency_updated_at) / kLatencyDecaySeconds)
+             : expected;
 }
 
 bool Nodes::is_overtaken(const Node& node, double sent, double now) const {
   return sent < node.latest_answered_sent_at && now - sent > kSilenceLatencies * node.smoothed_latency;
 }
 
-// Smoothed, or the age of a part that waits longer: a node that swallows work must not look merely unheard.
+// The decayed latency or, if greater, the age of the oldest pending part that no later one has overtaken: a
+// node that doesn't answer must not look like one without samples.
 double Nodes::latency_estimate(const Node& node, double now) const {
   auto value = decayed_latency(node, expected_latency(node, now), now);
-  const auto oldest = node.pending_sent_at.upper_bound(
-      node.latest_answered_sent_at);  // of those that no later one has overtaken
+  const auto oldest = node.pending_sent_at.upper_bound(node.latest_answered_sent_at);
   if (oldest != node.pending_sent_at.end()) value = std::max(value, now - *oldest);
   return std::max(value, 1e-3);
 }
 
+// Calls whose answers count as lost are left out.
 std::size_t Nodes::pending_calls(const Node& node, double now) const {
   const auto lost = std::count_if(node.pending_sent_at.begin(),
                                   node.pending_sent_at.lower_bound(node.latest_answered_sent_at),
@@ -203,28 +209,29 @@
   return node.pending_batches.size() - std::min(node.pending_batches.size(), static_cast<std::size_t>(lost));
 }
 
+// Parts of other routers for which the report of the end hasn't come are left out after a while.
 double Nodes::peer_pending_parts(const Node& node, double now) const {
   const auto from = now - kSilenceLatencies * std::max({double(mean_latency), median_latency,
                                                         node.smoothed_latency, node.peer_latency});
   return static_cast<double>(std::distance(node.peer_sent_at.lower_bound(from), node.peer_sent_at.end()));
 }
 
-// Whether a part sent there now travels in a call that stands open.
+// Whether a part sent there now goes into the batch of the parts sent before it at the same time.
 bool Nodes::joins_open_batch(const Node& node, double now) const {
   const auto open = node.pending_batches.find(node.open_batch);
   return node.open_batch_at == now && open != node.pending_batches.end() && open->second < max_parts_per_call;
 }
 
-double Nodes::site_score_factor(const Node& node, bool may_try, std::ranlux24_base& chance) const {
-  const auto* known = site_share(node);
-  if (known == nullptr || known->share >= 1) return 1;
-  if (known->lost) return known->probe_allowed && may_try ? 1 / kReducedSiteScoreFactor : 0;
-  return std::uniform_real_distribution<>(0, 1)(chance) < known->share ? 1 : kReducedSiteScoreFactor;
+double Nodes::site_score_factor(const Node& node, bool may_probe, std::ranlux24_base& random) const {
+  const auto* share = site_share(node);
+  if (share == nullptr || share->share >= 1) return 1;
+  if (share->lost) return share->probe_allowed && may_probe ? 1 / kReducedSiteScoreFactor : 0;
+  return std::uniform_real_distribution<>(0, 1)(random) < share->share ? 1 : kReducedSiteScoreFactor;
 }
 
-// Nodes whose site was lost, and the way there, are unheard of again.
-void Nodes::set_site_shares(std::span<const SiteShare> told) {
-  const auto before = std::exchange(sites, std::vector<SiteShare>(told.begin(), told.end()));
+// When a lost site returns, its nodes and the path to them start without samples and without suspicion.
+void Nodes::set_site_shares(std::span<const SiteShare> shares) {
+  const auto before = std::exchange(sites, std::vector<SiteShare>(shares.begin(), shares.end()));
   for (std::size_t i = 0; i < before.size(); ++i) {
     if (!before[i].lost || (i < sites.size() && sites[i].lost)) continue;
     paths[i].extra_delay = 0;
@@ -237,19 +244,20 @@
   }
 }
 
-// Three bad outcomes in a row, or an answer long overdue. Trials cost a query each: they become rarer.
+// A node becomes suspect by kSuspectAfterFailures failures in a row or by an overdue answer. Each probe costs
+// a query, so the interval between probes doubles.
 void Nodes::update_suspicion(Node& node, double now) {
   const auto silent =
       !node.pending_sent_at.empty() && node.last_answer_at < *node.pending_sent_at.begin() &&
       now - *node.pending_sent_at.begin() >
           kSilenceLatencies * std::max({double(mean_latency), median_latency, node.smoothed_latency});
-  // Only an answer clears it: a part that was swallowed is given up long before a second could bear witness.
+  // Only a success ends the state: an unanswered probe times out long before there could be a second one.
   if (!silent && node.consecutive_failures < (node.suspect ? 1 : kSuspectAfterFailures)) {
     node.suspect = false;
     node.probe_interval = kMinProbeIntervalSeconds;
   } else if (!node.suspect || now >= node.next_probe_at) {
     if (node.suspect && node.pending_sent_at.empty() && node.consecutive_failures == node.failures_seen)
-      return;  // not tried yet
+      return;  // the probe has not been sent yet
     node.probe_interval =
         node.suspect ? std::min(2 * node.probe_interval, kMaxProbeIntervalSeconds) : kMinProbeIntervalSeconds;
     node.suspect = true;
@@ -258,8 +266,8 @@
   node.failures_seen = node.consecutive_failures;
 }
 
-// A node with nothing out, no suspicion and no news of other routers stays as it is until it is touched: in a
-// fleet of thousands these are nearly all.
+// A node that isn't suspect and has neither pending parts nor peer reports doesn't change until it is marked
+// active again. In a fleet of thousands of nodes nearly all are in that state.
 void Nodes::tick(double now) {
   for_each_active([&](std::size_t i, Node& node) {
     update_suspicion(node, now);
@@ -270,59 +278,60 @@
   nodes_up = listed_nodes_up;
 }
 
+// Estimated latency times the calls and parts that would be pending there.
 double Nodes::score(const Node& node, double now) const {
   return (is_avoided(node, now) ? kAvoidedScoreFactor : 1) * latency_estimate(node, now) *
          (static_cast<double>(pending_calls(node, now)) + peer_pending_parts(node, now) +
           (joins_open_batch(node, now) ? kJoinedCallCost : 1));
 }
 
-// A way between zones that has become slow is one cause behind many nodes: those not heard of late take the
-// latency of their way. Load leaves the quickest answers quick, a slow way does not: by them the two are told
-// apart. Hurts where all nodes of a zone queue alike: it is then avoided as if it were far.
-void Nodes::compare_paths(double now, double since) {
-  std::vector<Sample> samples_of_all;
-  std::vector<std::vector<Sample>> by_way;
+// A slow path between zones affects all nodes behind it: nodes without recent samples are assumed to have the
+// latency of their path. Under load the quickest answers stay quick, over a slow path they don't: by this the
+// two are distinguished. Known weakness: if all nodes of a zone have equally long queues, the zone is avoided
+// as if its path were slow.
+void Nodes::compare_paths(double now, double last_tick_at) {
+  std::vector<Sample> all_samples;
+  std::vector<std::vector<Sample>> by_path;
   std::vector<std::ptrdiff_t> answers;
-  for (auto& way : paths) {
-    const auto& samples = by_way.emplace_back(way.latencies.recent(now));
+  for (auto& path : paths) {
+    const auto& samples = by_path.emplace_back(path.latencies.recent(now));
     answers.push_back(std::count_if(samples.begin(), samples.end(), [](auto& s) { return !s.censored; }));
   }
   for_each_active([&](std::size_t, const Node& node) {
     if (node.zone == kNone) return;
-    const auto way = static_cast<std::size_t>(node.zone);
-    if (node.suspect && answers[way] > 0) return;  // others there do answer: it is the node, not the way
+    const auto path = static_cast<std::size_t>(node.zone);
+    if (node.suspect && answers[path] > 0) return;  // other nodes there answer: it is the node, not the path
     for (const auto sent : node.pending_sent_at)
       if (now - sent <= kLoadWindowSeconds && !is_answer_lost(node, sent, now))
-        by_way[way].push_back({now - sent, true});
+        by_path[path].push_back({now - sent, true});
   });
-  for (const auto& samples : by_way)
-    samples_of_all.insert(samples_of_all.end(), samples.begin(), samples.end());
-  median_latency = quantile(samples_of_all, 0.5);
+  for (const auto& samples : by_path) all_samples.insert(all_samples.end(), samples.begin(), samples.end());
+  median_latency = quantile(all_samples, 0.5);
   std::vector<double> quick;
   auto nearest = kNever;
   for (std::size_t i = 0; i < paths.size(); ++i) {
-    quick.push_back(quantile(by_way[i], kQuickQuantile));
+    quick.push_back(quantile(by_path[i], kQuickQuantile));
     if (answers[i] > 0) nearest = std::min(nearest, quick.back());
   }
   for (std::size_t i = 0; i < paths.size(); ++i) {
-    auto& way = paths[i];
-    const auto late = quick[i] - nearest;
-    // While it is avoided it brings no news but the age of what is out there.
-    way.extra_delay *= static_cast<double>(answers[i]) >= kPriorSamples
-                           ? 0
-                           : std::exp(-(now - since) / kLatencyDecaySeconds);
-    if (late > kSlowPathLatencies * std::max<double>(mean_latency, median_latency))
-      way.extra_delay = std::max(way.extra_delay, late);
+    auto& path = paths[i];
+    const auto extra_delay = quick[i] - nearest;
+    // While a path is avoided the only samples are the ages of the pending parts there.
+    path.extra_delay *= static_cast<double>(answers[i]) >= kPriorSamples
+                            ? 0
+                            : std::exp(-(now - last_tick_at) / kLatencyDecaySeconds);
+    if (extra_delay > kSlowPathLatencies * std::max<double>(mean_latency, median_latency))
+      path.extra_delay = std::max(path.extra_delay, extra_delay);
   }
 }
 
-void Nodes::record_latency(Node& node, double value, bool good, double now) {
-  // What has drifted away is no evidence: the longer the silence before it, the more a new sample weighs.
-  const auto held = decayed_latency(node, expected_latency(node, now), now);
+void Nodes::record_latency(Node& node, double latency, bool success, double now) {
+  // The older the last sample, the more weight a new one has.
+  const auto decayed = decayed_latency(node, expected_latency(node, now), now);
   const auto weight =
       1 - (1 - kLatencySampleWeight) * std::exp(-(now - node.latency_updated_at) / kLatencyDecaySeconds);
-  node.smoothed_latency = held > 0 ? held + weight * (value - held) : value;
+  node.smoothed_latency = decayed > 0 ? decayed + weight * (latency - decayed) : latency;
   node.latency_updated_at = now;
-  if (!good) update_suspicion(node, now);
+  if (!success) update_suspicion(node, now);
 }
 }  // namespace yoketurn::policy
--- a/src/policy/relative_work.cpp
+++ b/src/policy/relative_work.cpp
@@ -5,9 +5,8 @@
 
 namespace yoketurn::policy {
 namespace {
-constexpr double kSampleWeight = 0.01;  // of a new observation in the mean of its class
-constexpr double kMixDecaySeconds =
-    60;  // time constant in seconds with which the mix of classes is forgotten
+constexpr double kSampleWeight = 0.01;   // of a new sample in the mean of its vertical
+constexpr double kMixDecaySeconds = 60;  // time constant with which the counts of parts sent decay
 }  // namespace
 
 RelativeWork::RelativeWork(const std::vector<double>& slo_times) {
@@ -24,15 +23,15 @@
 }
 
 void RelativeWork::record_hint(int vertical, double seconds) {
-  auto& observed = verticals_[static_cast<std::size_t>(vertical)];
-  if (!observed.has_hints) observed.work_seconds = SmoothedMean(kSampleWeight);
-  observed.has_hints = true;
-  observed.work_seconds.add(seconds);
+  auto& state = verticals_[static_cast<std::size_t>(vertical)];
+  if (!state.has_hints) state.work_seconds = SmoothedMean(kSampleWeight);
+  state.has_hints = true;
+  state.work_seconds.add(seconds);
 }
 
 void RelativeWork::record_quick_latency(int vertical, double seconds) {
-  auto& observed = verticals_[static_cast<std::size_t>(vertical)];
-  if (!observed.has_hints) observed.work_seconds.add(seconds);
+  auto& state = verticals_[static_cast<std::size_t>(vertical)];
+  if (!state.has_hints) state.work_seconds.add(seconds);
 }
 
 RelativeWork::Means RelativeWork::means() const {
@@ -50,9 +49,9 @@
 double RelativeWork::estimate(int vertical) const {
   const auto mean = means();
   if (mean.work_seconds <= 0) return 1;
-  const auto& asked = verticals_[static_cast<std::size_t>(vertical)];
-  return asked.work_seconds > 0 ? asked.work_seconds / mean.work_seconds
-                                : std::max(asked.slo_time / mean.slo_time, 1.0);
+  const auto& known = verticals_[static_cast<std::size_t>(vertical)];
+  return known.work_seconds > 0 ? known.work_seconds / mean.work_seconds
+                                : std::max(known.slo_time / mean.slo_time, 1.0);
 }
 
 }  // namespace yoketurn::policy
--- a/src/policy/relative_work.hpp
+++ b/src/policy/relative_work.hpp
@@ -1,4 +1,4 @@
-// How much work a sub-request of each request class is, beside the mean over all classes.
+// Estimates how much work a part of each vertical is, relative to the mean over all verticals.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +8,20 @@
 
 namespace yoketurn::policy {
 
-// Estimates the work of a class by the cost hints of its sub-requests or, where there are none, by its quick
-// answers, which waited least at their nodes. The mean over the sub-requests sent of late is 1.
+// Estimates the work of a vertical from the work hints of its parts or, if it has none, from its quick
+// answers, which waited least at their nodes. The mean over the parts sent recently is 1.
 class RelativeWork {
  public:
-  // aims: by class, the time in which its answers earn their full utility, in seconds.
+  // slo_times: by vertical, in seconds.
   explicit RelativeWork(const std::vector<double>& slo_times);
 
   void record_sent(int vertical, double now);
-  void record_hint(int vertical, double seconds);  // the cost hint of a sub-request
-  // The time that quick answers of late took; passed over where the class has hints.
+  void record_hint(int vertical, double seconds);  // the work hint of a part
+  // Mean latency of recent quick answers; ignored if the vertical has hints.
   void record_quick_latency(int vertical, double seconds);
 
-  // A class of which nothing is known yet is taken for as much heavier than the others as its aim is longer,
-  // and no lighter than the mean.
+  // The work of a part, as a multiple of the mean. A vertical without samples is assumed to be heavier than
+  // the others in proportion to its SLO time, and no lighter than the mean.
   double estimate(int vertical) const;
 
  private:
@@ -29,10 +29,10 @@
     double slo_time = 0;
     SmoothedMean work_seconds;
     bool has_hints = false;
-    double sent_count = 0;  // of late, as of counted_at_
+    double sent_count = 0;  // parts sent, decayed as of decayed_at_
   };
   struct Means {
-    double work_seconds = 0, slo_time = 0;  // over the classes that are known; 0: none is
+    double work_seconds = 0, slo_time = 0;  // over the verticals with samples; 0: there are none
   };
 
   Means means() const;
--- a/src/policy/verticals.hpp
+++ b/src/policy/verticals.hpp
@@ -1,17 +1,16 @@
-// Part latencies by vertical: hedge delays, lost parts, the strain of the nodes, and the times of a query.
+// The state of each vertical: part latencies, hedge delays, the load estimate and the deadlines of a query.
 #pragma once
 
 #include "policy/nodes.hpp"
 
 namespace yoketurn::policy {
 
-constexpr double kLatencyWindowSeconds = 10;  // part latencies are kept for so long
-constexpr double kWeightRounding = 5e-5;      // weights of a step add up to 1 but for this
+constexpr double kLatencyWindowSeconds = 10;
+constexpr double kWeightRounding = 5e-5;  // by which the weights of a step may miss 1 when added up
 
-// A part that is out.
 struct PendingPart {
   double sent_at;
-  double step_time;  // usual_step of its query
+  double step_time;  // usual_step_time() of its query
   int node;
   auto operator<=>(const PendingPart&) const = default;
 };
@@ -19,26 +18,26 @@
 struct VerticalState {
   explicit VerticalState(const Vertical& v);
   Vertical settings;
-  double hedge_delay;          // the hedge delay
-  double lost_after = kNever;  // the age from which an unanswered part is lost, not slow
-  double quick_latency = 0;    // mean latency of the quicker half of its answers of late; 0: none
+  double hedge_delay;          // age from which an unanswered part is copied
+  double lost_after = kNever;  // age from which an unanswered part counts as lost, not slow
+  double quick_latency = 0;    // mean latency of the quicker half of the recent answers; 0: none
   SampleWindow part_latencies{kLatencyWindowSeconds};
-  std::multiset<PendingPart> pending_parts;  // its parts that are out
-  double client_time_limit = 0;              // what clients leave a query, near the longest
+  std::multiset<PendingPart> pending_parts;
+  double client_time_limit = 0;  // time that clients leave a query, near the longest
   SmoothedMean mean_query_work{kMeanSampleWeight};
   SampleWindow query_durations{kLatencyWindowSeconds};
-  SampleWindow load_samples{kLoadWindowSeconds};  // part latencies to usual_step
+  SampleWindow load_samples{kLoadWindowSeconds};  // part latencies as multiples of usual_step_time()
 };
 
 struct Verticals {
   explicit Verticals(const Settings& s);
 
-  double end_margin;  // by which answers come before the client's time is up
+  double end_margin;  // by which answers are sent before the client's deadline
   std::vector<VerticalState> all;
-  SmoothedMean mean_part_work{kMeanSampleWeight};    // by the hints
-  SmoothedMean mean_query_parts{kMeanSampleWeight};  // of a query
-  double load_estimate = 0;                          // part latency to the time that a step has
-  double typical_pending = 0;                        // parts out while that was measured
+  SmoothedMean mean_part_work{kMeanSampleWeight};  // by the hints
+  SmoothedMean mean_query_parts{kMeanSampleWeight};
+  double load_estimate = 0;    // recent part latency as a multiple of the time that a step has
+  double typical_pending = 0;  // mean of recent_pending() over about the load window
 
   VerticalState& state_of(const Query& q) { return all[static_cast<std::size_t>(q.vertical)]; }
   const Vertical& settings_of(const Query& q) const {
@@ -54,22 +53,25 @@
   double step_time(const Query& q) const {
     return std::max(slo_deadline(q) - q.received_at, end_margin) / step_count(q);
   }
-  // The time of a step where the client waits to the SLO time. Strain is measured against it: what the
-  // hurried part of the clients leaves would make the nodes look strained to all others.
+  // The time a step has if the client waits until the SLO time. Load is measured against it: measured against
+  // the time that clients in a hurry leave, the nodes would look overloaded to all other clients too.
   double usual_step_time(const Query& q) const {
     return std::max(settings_of(q).slo_time + settings_of(q).slo_stretch * q.work_hint - end_margin,
                     end_margin) /
            step_count(q);
   }
-  // A leaf call is given all the time in which its answer is worth something.
+  // A call has all the time in which its answer still has utility.
   double call_timeout(const Query& q, double now) const {
     return (settings_of(q).late_utility > 0 ? final_deadline(q) : slo_deadline(q)) - now;
   }
   double copy_at(const Query& q, const Leaf& leaf) {
     return leaf.calls[0].sent_at + state_of(q).hedge_delay + excess_work(leaf);
   }
+  // Seconds that a part should take longer than an average one, by its work hint.
   double excess_work(const Leaf& leaf) const;
+  // Pending parts that were sent within the load window.
   double recent_pending(double now) const;
-  void update_estimates(double now, double since, Nodes& nodes);
+  // Updates hedge delays, lost_after and the load estimate. last_tick_at: time of the last update.
+  void update_estimates(double now, double last_tick_at, Nodes& nodes);
 };
 }  // namespace yoketurn::policy
