--- a/src/queries/clock.hpp
+++ b/src/queries/clock.hpp
@@ -1,4 +1,5 @@
-// The one clock of a router: seconds that only ever go forward.
+// The clocks of a router process. now() is monotonic; all times in seconds are on this clock unless stated
+// otherwise.
 #pragma once
 
 #include <chrono>
@@ -9,7 +10,7 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// What the machines' common clock shows, on that of this router, when now() is 0.
+// The Unix time, by this machine's wall clock, at which now() is 0.
 inline double unix_time_at_zero() {
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count() - now();
 }
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -1,4 +1,4 @@
-// The queries in hand: their parts, calls, steps and due times. The only caller of the module.
+// The pending queries with their parts, calls, steps and timers. The only caller of the routing policy.
 #pragma once
 
 #include <cstdint>
@@ -7,79 +7,94 @@
 #include <span>
 #include <vector>
 
-#include "routing_policy.hpp"
-#include "queries/timer_queue.hpp"
 #include "queries/query_observer.hpp"
+#include "queries/timer_queue.hpp"
+#include "routing_policy.hpp"
 #include "sites/sites.hpp"
 
 namespace yoketurn {
 
-// What is to be done for the queries; whoever reads and writes messages carries it out. It must not call the
-// queries back from here.
+// Carries out what was decided for the queries; implemented by whoever reads and writes the messages. The
+// methods must not call Queries.
 class QueryActions {
  public:
   virtual ~QueryActions() = default;
   virtual void send(long long query, const Send& send, int call) = 0;
   virtual void cancel(long long query, const Cancel& cancel) = 0;
-  virtual void merge(long long query, bool whole) = 0;  // of a first step: its second step is awaited then
-  virtual void reject(long long query, double stay_away, const Explanation& why) = 0;
-  virtual void abort(long long query, const Explanation& why) = 0;
-  virtual void release(long long query) = 0;       // ended, and no call is out any more
-  virtual void on_call_ended(int, const Call&) {}  // of this vertical; its outcome stands in it
-  virtual void send_peer_reports(const std::vector<PeerReport>&) {}  // where the other routers can be told
+  // After the first of two steps the parts of the second step are expected next, see Queries::awaits_parts().
+  virtual void merge(long long query, bool complete) = 0;
+  // retry_after: seconds that the client is asked to wait before it retries.
+  virtual void reject(long long query, double retry_after, const Explanation& explanation) = 0;
+  virtual void abort(long long query, const Explanation& explanation) = 0;
+  virtual void release(long long query) = 0;  // it has ended and no call is pending: its id is free
+  virtual void on_call_ended(int /*vertical*/, const Call&) {}  // the outcome is set in the call
+  virtual void send_peer_reports(const std::vector<PeerReport>&) {}
 };
 
+// Holds the pending queries, asks the routing policy about each that has changed, and has its decisions
+// carried out. Queries are identified by the caller's ids. The events of one round of the event loop are
+// reported first; process_changes() ends the round.
 class Queries {
  public:
-  Queries(const Settings& settings, std::uint64_t seed, double now, TimerQueue& due, QueryActions& actions);
-  // With others in the place of the module.
-  Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed,
-          TimerQueue& due, QueryActions& actions);
+  Queries(const Settings& settings, std::uint64_t seed, double now, TimerQueue& timers,
+          QueryActions& actions);
+  // With another policy than AdaptiveRoutingPolicy.
+  Queries(std::unique_ptr<RoutingPolicy> policy, const Settings& settings, std::uint64_t seed,
+          TimerQueue& timers, QueryActions& actions);
 
-  void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, double now, bool told = true) {
-    policy_->update_nodes(hosts, complete, told);
-    sites_.list(hosts, complete, now);
+  // See RoutingPolicy::update_nodes().
+  void update_nodes(std::span<const DiscoveredNode> nodes, bool complete, double now,
+                    bool from_discovery = true) {
+    policy_->update_nodes(nodes, complete, from_discovery);
+    sites_.list(nodes, complete, now);
   }
   void remove_node(int node) {
     policy_->remove_node(node);
     sites_.forget(node);
   }
-  void on_peer_report(PeerReport word, double now) { policy_->on_peer_report(word, now); }
+  void on_peer_report(PeerReport report, double now) { policy_->on_peer_report(report, now); }
   void on_node_list_failed(double now) { policy_->on_node_list_failed(now); }
+  // Periodic work, every tick_interval(). Returns whether the node list has to be requested now.
   bool tick(double now);
   Sites& sites() { return sites_; }
   double tick_interval() const { return policy_->tick_interval(); }
   NodeHealth node_health(int node, double now) const { return policy_->node_health(node, now); }
   long long dropped_trace_entries() const { return policy_->dropped_trace_entries(); }
-  void set_observer(QueryObserver* witness) {  // is told of everything from now on; nullptr: nobody is
-    observer_ = witness;
-    policy_->enable_trace(witness != nullptr);
+  void set_observer(QueryObserver* observer) {  // nullptr: none
+    observer_ = observer;
+    policy_->enable_trace(observer != nullptr);
   }
 
   bool contains(long long query) const { return pending_queries_.contains(query); }
   void add_query(long long query, Query start, double now);
-  int add_part(long long query, Leaf leaf, double now);  // its place among the parts; kNone: not wanted
+  // All parts of a step have to be added in the same round. Returns the index of the part; kNone: the query
+  // has ended.
+  int add_part(long long query, Leaf leaf, double now);
+  // The first outcome of a call counts, later ones are ignored. score: of a successful answer; decides where
+  // the second step goes.
   void on_outcome(long long query, int leaf, int call, Outcome outcome, double score, double now);
+  // Ends the query without an answer, as its client has disconnected.
   void abandon(long long query);
-  void process_changes(
-      double now);  // asks the module for all that has changed; due times that have come are run first
+  // Runs the timers that are due, then asks the policy about all queries that have changed.
+  void process_changes(double now);
 
-  // The parts whose shards a second step goes to: the highest scores among those that are in.
+  // The parts whose shards the second step goes to: those with the highest scores of the answered ones.
   std::vector<int> second_step_leaves(long long query) const;
+  // Whether the parts of the second step have to be added.
   bool awaits_parts(long long query) const;
 
  private:
   struct PendingQuery {
     Query query;
-    std::vector<double> scores;  // of the parts that are in
+    std::vector<double> scores;  // by part; 0: not answered yet
     int pending_calls = 0;       // calls without an outcome
-    bool changed = false;
+    bool changed = false;        // it is in changed_queries_
   };
 
-  void mark_changed(long long number, PendingQuery& held);
-  void carry_out(long long number, PendingQuery& held, const Decision& answer, double now);
-  void finish_step(long long number, PendingQuery& held, const Decision& answer);
-  void end_query(long long number, PendingQuery& held);
+  void mark_changed(long long query, PendingQuery& pending);
+  void carry_out(long long query, PendingQuery& pending, const Decision& decision, double now);
+  void finish_step(long long query, PendingQuery& pending, const Decision& decision);
+  void end_query(long long query, PendingQuery& pending);
 
   void apply_site_shares();
 
--- a/src/queries/query_observer.hpp
+++ b/src/queries/query_observer.hpp
@@ -1,4 +1,4 @@
-// Who is told of each decision and each outcome, and why. It steers nothing.
+// Observes each decision and each outcome together with its reason, without influence on either.
 #pragma once
 
 #include <span>
@@ -10,9 +10,9 @@
 class QueryObserver {
  public:
   virtual ~QueryObserver() = default;
-  // Before the answer is carried out; the number of a send's call is that of the calls the part has had.
-  virtual void on_decision(long long query, const Query& q, const Decision& answer,
-                           std::span<const DecisionTraceEntry> judged, double now) = 0;
+  // Called before the decision is carried out: the call of a send will have the index leaf.calls.size().
+  virtual void on_decision(long long query, const Query& q, const Decision& decision,
+                           std::span<const DecisionTraceEntry> trace, double now) = 0;
   virtual void on_outcome(long long query, const Query& q, int leaf, int call, double now) = 0;
 };
 
