--- a/src/estimates/decision_trace.hpp
+++ b/src/estimates/decision_trace.hpp
@@ -1,4 +1,5 @@
-// What was passed over for one answer and why, in a bounded list: an account of choices, which steers none.
+// A bounded trace of one decision: the nodes that were passed over and the parts that wait, each with the
+// reason. It has no influence on decisions.
 #pragma once
 
 #include <vector>
@@ -10,13 +11,13 @@
 struct DecisionTrace {
   bool enabled = false;
   std::vector<DecisionTraceEntry> entries;
-  long long dropped = 0;  // for want of room
+  long long dropped = 0;  // entries there was no room for
 
-  void add(int leaf, int node, Explanation why) {
+  void add(int leaf, int node, Explanation explanation) {
     if (!enabled) return;
-    entries.size() < kMaxTraceEntries ? entries.push_back({leaf, node, kNone, why}) : void(++dropped);
+    entries.size() < kMaxTraceEntries ? entries.push_back({leaf, node, kNone, explanation}) : void(++dropped);
   }
-  // All from there on were passed over for this node, at this score.
+  // Sets the node that was chosen, and its score, in all entries from this index on.
   void set_chosen(std::size_t from, int chosen, double best) {
     for (auto i = from; i < entries.size(); ++i) {
       entries[i].chosen_node = chosen;
--- a/src/estimates/samples.hpp
+++ b/src/estimates/samples.hpp
@@ -1,5 +1,5 @@
-// Samples of a sliding window and what is read from them: product-limit quantiles (Kaplan and Meier, 1958),
-// counts, smoothed averages. Times in seconds on one clock that only goes forward.
+// Samples of a sliding window and their statistics: product-limit quantiles (Kaplan and Meier, 1958), counts
+// and smoothed means. Times are seconds on one monotonic clock.
 #pragma once
 
 #include <algorithm>
@@ -14,40 +14,42 @@
 
 struct Sample {
   double value;
-  bool censored;  // the true value is this or more: the call was cancelled, timed out or is still out
+  bool censored;  // the true value is this or more: the call was cancelled, timed out or is pending
 };
 
-// Quantiles are product-limit estimates. Cancelled calls are the slow ones: to leave them out, or to take
-// their age for a latency, would pull the percentile down and so invite more copies.
+// Quantiles are product-limit estimates. Cancelled calls are the slow ones: leaving them out, or taking their
+// age as a latency, would lower the percentile and so cause more copies. Equal values: uncensored ones come
+// first.
 inline void sort_by_value(std::vector<Sample>& samples) {
   std::sort(samples.begin(), samples.end(), [](const Sample& a, const Sample& b) {
     return a.value != b.value ? a.value < b.value : a.censored < b.censored;
   });
 }
 
+// Sorts the samples. 0: there are none.
 inline double quantile(std::vector<Sample>& samples, double share) {
   sort_by_value(samples);
-  double above = 1;
+  double survival = 1;
   for (std::size_t i = 0; i < samples.size(); ++i) {
-    if (!samples[i].censored) above *= 1 - 1.0 / static_cast<double>(samples.size() - i);
-    if (above <= 1 - share + 1e-9) return samples[i].value;
+    if (!samples[i].censored) survival *= 1 - 1.0 / static_cast<double>(samples.size() - i);
+    if (survival <= 1 - share + 1e-9) return samples[i].value;
   }
   return samples.empty() ? 0 : samples.back().value;
 }
 
-// By the same estimate, the chance that a value is at most this.
+// By the same estimate, the probability that a value is at most this. Sorts the samples.
 inline double probability_within(std::vector<Sample>& samples, double value) {
   sort_by_value(samples);
-  double above = 1;
+  double survival = 1;
   for (std::size_t i = 0; i < samples.size() && samples[i].value <= value; ++i)
-    if (!samples[i].censored) above *= 1 - 1.0 / static_cast<double>(samples.size() - i);
-  return 1 - above;
+    if (!samples[i].censored) survival *= 1 - 1.0 / static_cast<double>(samples.size() - i);
+  return 1 - survival;
 }
 
-// Counts events in a sliding window.
+// Counts events in a sliding window of this many seconds.
 class WindowCounter {
  public:
-  explicit WindowCounter(double span = 0) : window_seconds_(span) {}
+  explicit WindowCounter(double window_seconds = 0) : window_seconds_(window_seconds) {}
   void add(double now, double count = 1) {
     recent(now);
     events_.emplace_back(now, count);
@@ -70,12 +72,12 @@
 // The samples of a sliding window.
 class SampleWindow {
  public:
-  explicit SampleWindow(double span) : window_seconds_(span) {}
+  explicit SampleWindow(double window_seconds) : window_seconds_(window_seconds) {}
   void add(double now, Sample sample) { samples_.emplace_back(now, sample); }
   std::vector<Sample> recent(double now) {
     while (!samples_.empty() && samples_.front().first < now - window_seconds_) samples_.pop_front();
     std::vector<Sample> result;
-    for (const auto& [when, sample] : samples_) result.push_back(sample);
+    for (const auto& [at, sample] : samples_) result.push_back(sample);
     return result;
   }
 
@@ -84,11 +86,12 @@
   std::deque<std::pair<double, Sample>> samples_;
 };
 
-// A smoothed average. The first samples weigh as in a plain mean: a router that sees a query a second would
-// else go by its very first one for a minute.
+// A smoothed mean. The first samples have the weight they have in a plain mean: otherwise a router that gets
+// one query per second would go by the very first one for a minute.
 class SmoothedMean {
  public:
-  explicit SmoothedMean(double weight) : max_count_(1 / weight) {}  // of a new sample, once there are enough
+  // weight: of a new sample, once there are 1 / weight samples.
+  explicit SmoothedMean(double weight) : max_count_(1 / weight) {}
   void add(double sample) {
     count_ = std::min(count_ + 1, max_count_);
     value_ += (sample - value_) / count_;
