--- a/src/clients/listener.cpp
+++ b/src/clients/listener.cpp
@@ -22,12 +22,12 @@
 
 }  // namespace
 
-Listener::Listener(asio::io_context& context, DueTimes& due, std::size_t most_connections,
+Listener::Listener(asio::io_context& context, TimerQueue& due, std::size_t most_connections,
                    std::size_t room_from, Log& log, Asker& asker)
     : context_(context),
       acceptor_(context),
       due_(due),
-      due_key_(due.fresh_key()),
+      due_key_(due.new_key()),
       most_connections_(most_connections),
       room_from_(room_from),
       log_(log),
@@ -87,7 +87,7 @@
 }
 
 void Listener::accept_at(double at) {
-  due_.set(due_key_, at, [this](double) { accept(); });
+  due_.schedule(due_key_, at, [this](double) { accept(); });
 }
 
 void Listener::admit(asio::ip::tcp::socket socket) {
@@ -154,7 +154,7 @@
   accept();
   boost::system::error_code ignored;
   acceptor_.close(ignored);
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
 }
 
 void Listener::asked(ClientConnection& connection, const ClientConnection::Request& request) {
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-NodeConnection::NodeConnection(asio::io_context& context, DueTimes& due, const Limits& limits, Owner& owner,
+NodeConnection::NodeConnection(asio::io_context& context, TimerQueue& due, const Limits& limits, Owner& owner,
                                int node)
     : socket_(context),
       due_(due),
       limits_(limits),
       owner_(owner),
       node_(node),
-      due_key_(due.fresh_key()),
+      due_key_(due.new_key()),
       in_(kLargestFrame),
       outgoing_(kLargestFrame * limits.parts_a_call) {}
 
@@ -42,7 +42,7 @@
 void NodeConnection::on_open(const boost::system::error_code& error) {
   if (state_ != State::connecting) return;
   if (error)
-    return close(Closing::refused, error.message(), Outcome::broken,
+    return close(Closing::refused, error.message(), Outcome::disconnected,
                  is_local_lack(error) ? Outcome::unsent : Outcome::unreachable);
   boost::system::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -55,7 +55,7 @@
 }
 
 void NodeConnection::touch_due(double at) {
-  due_.set(due_key_, at, [weak = weak_from_this()](double now) {
+  due_.schedule(due_key_, at, [weak = weak_from_this()](double now) {
     const auto self = weak.lock();
     if (!self) return;
     boost::system::error_code ignored;
@@ -80,7 +80,7 @@
   if (half) {
     touch_due(last_heard_ + limits_.connect_timeout);
   } else if (!idle()) {
-    due_.drop(due_key_);
+    due_.cancel(due_key_);
   }
 }
 
@@ -100,7 +100,7 @@
   for (const auto& part : parts) out_[part.id] = {part.ref, now, false};
   waiting_.push_back(std::move(parts));
   last_used_ = now;
-  if (state_ == State::open) due_.drop(due_key_);
+  if (state_ == State::open) due_.cancel(due_key_);
   write();
 }
 
@@ -166,7 +166,7 @@
     await_writable();
   } else if (is_lack_of_memory(error)) {
     // This machine's lack, not the node's: the call waits, as it does for a full socket.
-    due_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::write);
+    due_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::write);
   } else {
     write_failed(error);
   }
@@ -240,7 +240,7 @@
   }
   if (state_ != State::open) return;
   if (!lacks_memory_) return await_readable();
-  due_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::read_available);
+  due_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::read_available);
 }
 
 bool NodeConnection::read_some() {
@@ -372,7 +372,7 @@
 void NodeConnection::close(Closing closing, std::string_view why, Outcome written, Outcome unwritten) {
   if (state_ == State::closed) return;
   state_ = State::closed;
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   boost::system::error_code ignored;
   socket_.close(ignored);
   waiting_.clear();
--- a/src/datanodes/connection.hpp
+++ b/src/datanodes/connection.hpp
@@ -53,7 +53,7 @@
     virtual void reported(NodeConnection& connection, std::string_view report, double asked) = 0;
   };
 
-  NodeConnection(boost::asio::io_context& context, DueTimes& due, const Limits& limits, Owner& owner,
+  NodeConnection(boost::asio::io_context& context, TimerQueue& due, const Limits& limits, Owner& owner,
                  int node);
 
   void open(const boost::asio::ip::tcp::endpoint& at);
@@ -67,7 +67,7 @@
   // Takes no new calls, is closed once none is out. Parts of which no byte was written end as `unsent`.
   void retire();
   // Ends it: a call of which the last byte was written has the one outcome, any other cannot have run.
-  void close(Closing closing, std::string_view why, Outcome written = Outcome::broken,
+  void close(Closing closing, std::string_view why, Outcome written = Outcome::disconnected,
              Outcome unwritten = Outcome::unreachable);
   bool ask_load(double now);  // for the node's load report; whether it could be asked
 
@@ -105,17 +105,17 @@
   void end_unsent(std::vector<OutgoingPart> parts);
   void end_waiting();
   bool take(const Frame& frame);
-  void spoilt() { close(Closing::spoilt, "unusable frame", Outcome::spoilt, Outcome::unsent); }
+  void spoilt() { close(Closing::spoilt, "unusable frame", Outcome::malformed, Outcome::unsent); }
   void await_rest();
   void settle();  // after a call has ended: closes or waits idle
   void touch_due(double at);
 
   boost::asio::ip::tcp::socket socket_;
-  DueTimes& due_;
+  TimerQueue& due_;
   Limits limits_;
   Owner& owner_;
   int node_;
-  DueTimes::Key due_key_;
+  TimerQueue::Key due_key_;
   State state_ = State::fresh;
   bool retired_ = false;
   bool awaits_writable_ = false;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -23,7 +23,7 @@
 constexpr double kAgain = 0.01;      // until a part that failed goes out again
 constexpr double kRounding = 1e-9;
 
-class Plain final : public Decisions {
+class Plain final : public RoutingPolicy {
  public:
   Plain(const Settings& settings, const Design& design, std::uint64_t seed,
         std::function<double(int node)> waiting)
@@ -32,44 +32,44 @@
         chance_(static_cast<std::uint_fast32_t>(seed)),
         true_waiting_(std::move(waiting)) {}
 
-  Answer route(Query& q, double now) override {
+  Decision route(Query& q, double now) override {
     q.admitted = true;
     auto answer = ending(q, now);
-    if (answer.end != End::none) return answer;
+    if (answer.query_end != QueryEnd::none) return answer;
     for (std::size_t i = 0; i < q.leaves.size(); ++i)
-      if (!q.leaves[i].in) place(q, static_cast<int>(i), answer, now);
+      if (!q.leaves[i].answered) place(q, static_cast<int>(i), answer, now);
     return answer;
   }
 
-  Answer settle(Query& q, int leaf_index, int call_index, double now) override {
+  Decision on_call_ended(Query& q, int leaf_index, int call_index, double now) override {
     auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
     const auto& call = leaf.calls[static_cast<std::size_t>(call_index)];
     if (call.outcome != Outcome::unsent) {
       auto& out = out_[call.node];
       out = std::max(out - 1, 0);
     }
-    Answer answer;
-    if (call.outcome != Outcome::success || leaf.in) return answer;
-    latencies_.add(now, {now - call.sent, false});
-    leaf.in = true;
+    Decision answer;
+    if (call.outcome != Outcome::success || leaf.answered) return answer;
+    latencies_.add(now, {now - call.sent_at, false});
+    leaf.answered = true;
     for (std::size_t i = 0; i < leaf.calls.size(); ++i)
       if (leaf.calls[i].pending())
-        answer.cancels.push_back({leaf_index, static_cast<int>(i), why(Reason::race_lost)});
+        answer.cancels.push_back({leaf_index, static_cast<int>(i), explain(Reason::race_lost)});
     return answer;
   }
 
-  double wait(const Query& q, double now) const override {
+  double time_to_next_check(const Query& q, double now) const override {
     auto due = last(q);
     for (const auto& leaf : q.leaves)
-      if (!leaf.in)
+      if (!leaf.answered)
         due = std::min(due, leaf.any_pending() && !breaks(Design::Broken::budget)
                                 ? std::max(copy_at(leaf), now + kAgain)
                                 : now + kAgain);
     return std::max(due - now, 1e-3);
   }
 
-  void take(int, double) override {}
-  void list(std::span<const Host> hosts, bool complete, bool) override {
+  void on_requests_received(int, double) override {}
+  void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool) override {
     if (complete)
       for (auto& host : hosts_) host.up = false;
     for (const auto& host : hosts) {
@@ -78,26 +78,26 @@
         hosts_.resize(static_cast<std::size_t>(host.node) + 1);
       hosts_[static_cast<std::size_t>(host.node)] = host;
     }
-    by_cell_.assign(static_cast<std::size_t>(is_.cells), {});
+    by_cell_.assign(static_cast<std::size_t>(is_.cell_count), {});
     for (const auto& host : hosts_)
-      if ((host.up || breaks(Design::Broken::drains)) && host.cell >= 0 && host.cell < is_.cells)
+      if ((host.up || breaks(Design::Broken::drains)) && host.cell >= 0 && host.cell < is_.cell_count)
         by_cell_[static_cast<std::size_t>(host.cell)].push_back(host.node);
   }
-  void forget(int) override {}
-  void list_failed(double) override {}
+  void remove_node(int) override {}
+  void on_node_list_failed(double) override {}
   bool tick(double now) override {
     auto samples = latencies_.recent(now);
     if (samples.size() >= 10) late_ = quantile(samples, kLateShare);
     return false;
   }
-  double period() const override { return kPeriod; }
-  std::vector<Word> tell() override { return {}; }
-  void hear(Word, double) override {}
-  void believe(std::span<const SiteShare>) override {}
-  void explain(bool) override {}
-  std::span<const Judged> judged() const override { return {}; }
-  long long unjudged() const override { return 0; }
-  Belief belief(int, double) const override { return Belief::trusted; }
+  double tick_interval() const override { return kPeriod; }
+  std::vector<PeerReport> take_peer_reports() override { return {}; }
+  void on_peer_report(PeerReport, double) override {}
+  void set_site_shares(std::span<const SiteShare>) override {}
+  void enable_trace(bool) override {}
+  std::span<const DecisionTraceEntry> trace() const override { return {}; }
+  long long dropped_trace_entries() const override { return 0; }
+  NodeHealth node_health(int, double) const override { return NodeHealth::healthy; }
 
  private:
   bool breaks(Design::Broken rule) const { return design_.broken == rule; }
@@ -105,37 +105,37 @@
 
   // When its answer has to leave.
   double last(const Query& q) const {
-    return q.expires + (breaks(Design::Broken::late) ? kTooLate : -kMargin);
+    return q.deadline + (breaks(Design::Broken::late) ? kTooLate : -kMargin);
   }
 
   double copy_at(const Leaf& leaf) const {
     if (design_.copies != Design::Copies::late || leaf.calls.size() != 1)
       return std::numeric_limits<double>::infinity();
-    return leaf.calls[0].sent + late_;
+    return leaf.calls[0].sent_at + late_;
   }
 
-  Answer ending(const Query& q, double now) {
-    Answer answer;
+  Decision ending(const Query& q, double now) {
+    Decision answer;
     double in = 0, possible = 0;
     for (const auto& leaf : q.leaves) {
-      if (leaf.in) in += leaf.weight;
-      if (leaf.in || leaf.any_pending() || may_send(q, leaf, now)) possible += leaf.weight;
+      if (leaf.answered) in += leaf.weight;
+      if (leaf.answered || leaf.any_pending() || may_send(q, leaf, now)) possible += leaf.weight;
     }
     const auto& v = of(q);
     const auto over = now >= last(q);
-    if (in >= v.whole - kRounding || (over && breaks(Design::Broken::whole)))
-      answer.end = End::merge_whole;
-    else if ((over || possible <= in + kRounding) && in >= v.least - kRounding)
-      answer.end = End::merge_part;
-    else if (over || possible < v.least - kRounding) {
+    if (in >= v.complete_share - kRounding || (over && breaks(Design::Broken::whole)))
+      answer.query_end = QueryEnd::merge_complete;
+    else if ((over || possible <= in + kRounding) && in >= v.min_merge_share - kRounding)
+      answer.query_end = QueryEnd::merge_partial;
+    else if (over || possible < v.min_merge_share - kRounding) {
       const auto harmless =
           v.effect == Effect::repeatable ||
           std::all_of(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) {
             return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
           });
-      answer.end = harmless ? End::reject : End::abort;
-      answer.stay_away = is_.max_stay_away;
-      answer.why = why(over ? Reason::time_over : Reason::cannot_reach);
+      answer.query_end = harmless ? QueryEnd::reject : QueryEnd::abort;
+      answer.retry_after = is_.max_retry_after;
+      answer.explanation = explain(over ? Reason::deadline_passed : Reason::share_unreachable);
     }
     return answer;
   }
@@ -149,10 +149,10 @@
     const auto& v = of(q);
     const auto ran = std::find_if(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
     if (v.effect == Effect::repeatable || ran == leaf.calls.end()) return kNever;
-    return v.effect == Effect::deduplicated ? ran->sent + v.window - kMargin : 0;
+    return v.effect == Effect::deduplicated ? ran->sent_at + v.dedup_window - kMargin : 0;
   }
 
-  void place(const Query& q, int index, Answer& answer, double now) {
+  void place(const Query& q, int index, Decision& answer, double now) {
     const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
     const auto out = leaf.any_pending();
     const auto repeatable = of(q).effect == Effect::repeatable || breaks(Design::Broken::twice);
@@ -165,35 +165,35 @@
                  : copies && !at_once && leaf.calls.size() == 1 && now >= copy_at(leaf) - 1e-6 &&
                        copied_.recent(now) + 1 <= kCopyShare * sent_.recent(now);
       if (!copy) return;
-    } else if (!may_send(q, leaf, now) || (!leaf.calls.empty() && now < leaf.calls.back().sent + kAgain)) {
+    } else if (!may_send(q, leaf, now) || (!leaf.calls.empty() && now < leaf.calls.back().sent_at + kAgain)) {
       return;
     }
     send(q, index,
          copy                 ? Reason::copy
-         : leaf.calls.empty() ? Reason::first
-                              : Reason::failed_again,
+         : leaf.calls.empty() ? Reason::first_call
+                              : Reason::resent_failed,
          answer, now, kNone);
     if (copies && at_once && leaf.calls.empty() && !answer.sends.empty() && answer.sends.back().leaf == index)
       send(q, index, Reason::copy, answer, now, answer.sends.back().node);
   }
 
-  void send(const Query& q, int index, Reason reason, Answer& answer, double now, int but) {
+  void send(const Query& q, int index, Reason reason, Decision& answer, double now, int but) {
     const auto node = choose(q.leaves[static_cast<std::size_t>(index)], now, but);
     if (node == kNone) return;
     ++out_[node];
     (reason == Reason::copy ? copied_ : sent_).add(now);
-    answer.sends.push_back({index, node, next_group_++, std::max(last(q) - now, 0.001), why(reason),
+    answer.sends.push_back({index, node, next_group_++, std::max(last(q) - now, 0.001), explain(reason),
                             may_send_until(q, q.leaves[static_cast<std::size_t>(index)]) - now});
   }
 
   int choose(const Leaf& leaf, double now, int but) {
     std::vector<int> holders, others;
-    for (int i = 0; i < std::min(is_.span, is_.cells); ++i)
+    for (int i = 0; i < std::min(is_.cells_per_shard, is_.cell_count); ++i)
       for (const auto node : by_cell_.empty()
                                  ? std::vector<int>{}
-                                 : by_cell_[static_cast<std::size_t>((leaf.shard + i) % is_.cells)]) {
+                                 : by_cell_[static_cast<std::size_t>((leaf.shard + i) % is_.cell_count)]) {
         const auto& host = hosts_[static_cast<std::size_t>(node)];
-        const auto cold = host.born > 0 && now < host.born + is_.cold_time && !breaks(Design::Broken::cold);
+        const auto cold = host.started_at > 0 && now < host.started_at + is_.slow_start_time && !breaks(Design::Broken::cold);
         if (node == but || cold) continue;
         const auto tried =
             std::any_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& c) { return c.node == node; });
@@ -234,11 +234,11 @@
   Design design_;
   std::ranlux24_base chance_;
   std::function<double(int node)> true_waiting_;
-  std::vector<Host> hosts_;
+  std::vector<DiscoveredNode> hosts_;
   std::vector<std::vector<int>> by_cell_;
   std::map<int, int> out_, turn_;
-  Window latencies_{kWindow};
-  Tally sent_{kWindow}, copied_{kWindow};
+  SampleWindow latencies_{kWindow};
+  WindowCounter sent_{kWindow}, copied_{kWindow};
   double late_ = kStartDelay;
   int next_group_ = 0;
 };
@@ -270,7 +270,7 @@
       "-no-copies or (but for module) -at-once behind");
 }
 
-std::unique_ptr<Decisions> plain(const Settings& settings, const Design& design, std::uint64_t seed,
+std::unique_ptr<RoutingPolicy> plain(const Settings& settings, const Design& design, std::uint64_t seed,
                                  std::function<double(int node)> waiting) {
   return std::make_unique<Plain>(settings, design, seed, std::move(waiting));
 }
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -30,11 +30,11 @@
 }  // namespace
 
 Cold::Cold(const Settings& s)
-    : time(s.cold_time),
+    : time(s.slow_start_time),
       start(s.start_capacity),
-      rate(s.fall_multiple / kBusy),
-      fall_time(s.fall_time),
-      routers(std::max(s.routers, 1)) {}
+      rate(s.overload_multiple / kBusy),
+      fall_time(s.overload_time),
+      routers(std::max(s.router_count, 1)) {}
 
 // The least share of its capacity that a node has, by its start and the slowest ramp.
 double Cold::capacity(const Node& node, double now) const {
@@ -91,19 +91,19 @@
 Nodes::Nodes(const Settings& s)
     : cold(s),
       zone(s.zone),
-      parts_a_call(s.parts_a_call),
-      cells(s.cells),
-      span(std::min(s.span, s.cells)),
-      may_tell(s.may_tell && s.routers > 1),
-      by_cell(static_cast<std::size_t>(s.cells)) {}
+      parts_a_call(s.max_parts_per_call),
+      cells(s.cell_count),
+      span(std::min(s.cells_per_shard, s.cell_count)),
+      may_tell(s.may_send_peer_reports && s.router_count > 1),
+      by_cell(static_cast<std::size_t>(s.cell_count)) {}
 
 Node Nodes::unheard() const {
   Node node;
-  node.sent = Tally(cold.fall_time);
+  node.sent = WindowCounter(cold.fall_time);
   return node;
 }
 
-void Nodes::list(std::span<const Host> hosts, bool complete) {
+void Nodes::list(std::span<const DiscoveredNode> hosts, bool complete) {
   if (complete) {
     for (auto& node : all) node.up = false;
     listed_up = 0;
@@ -126,13 +126,13 @@
     ways.resize(std::max(ways.size(), static_cast<std::size_t>(host.zone + 1)));
     listed_up += static_cast<int>(host.up) - static_cast<int>(node.up);
     node.up = host.up;
-    if (host.born != node.born) {
+    if (host.started_at != node.born) {
       node.latency = 0;  // a new process: what was learned of the old one says nothing
       node.bad_row = 0;
       node.told = 0;
       node.others.clear();
     }
-    node.born = host.born;
+    node.born = host.started_at;
   }
 }
 
@@ -152,14 +152,14 @@
 }
 
 // What others tell is evidence that ages; it clears no suspicion.
-void Nodes::hear(Word word, double now) {
+void Nodes::hear(PeerReport word, double now) {
   if (static_cast<std::size_t>(word.node) >= all.size()) return;
   auto& node = at(word.node);
   touch(word.node);
-  if (word.took <= 0) return node.others.size() < kMostOthers ? void(node.others.insert(now)) : void();
-  const auto sent = node.others.lower_bound(now - kToldSlack * word.took);
+  if (word.latency <= 0) return node.others.size() < kMostOthers ? void(node.others.insert(now)) : void();
+  const auto sent = node.others.lower_bound(now - kToldSlack * word.latency);
   if (sent != node.others.end()) node.others.erase(sent);
-  node.told = node.told > 0 ? node.told + kSmoothing * (word.took - node.told) : word.took;
+  node.told = node.told > 0 ? node.told + kSmoothing * (word.latency - node.told) : word.latency;
   node.told_at = now;
 }
 
@@ -200,7 +200,7 @@
 double Nodes::by_site(const Node& node, bool may_try, std::ranlux24_base& chance) const {
   const auto* known = site(node);
   if (known == nullptr || known->share >= 1) return 1;
-  if (known->lost) return known->trial && may_try ? 1 / kAway : 0;
+  if (known->lost) return known->probe_allowed && may_try ? 1 / kAway : 0;
   return std::uniform_real_distribution<>(0, 1)(chance) < known->share ? 1 : kAway;
 }
 
@@ -211,7 +211,7 @@
     if (!before[i].lost || (i < sites.size() && sites[i].lost)) continue;
     ways[i].delay = 0;
     for (auto& node : all) {
-      if (node.zone != static_cast<int>(i) || node.born > before[i].since) continue;
+      if (node.zone != static_cast<int>(i) || node.born > before[i].lost_at) continue;
       node.suspect = false;
       node.bad_row = node.row_seen = 0;
       node.latency = 0;
--- a/src/policy/verticals.cpp
+++ b/src/policy/verticals.cpp
@@ -27,15 +27,15 @@
 }
 }  // namespace
 
-VerticalState::VerticalState(const Vertical& v) : is(v), delay(kStartShare * v.slo) {}
+VerticalState::VerticalState(const Vertical& v) : is(v), delay(kStartShare * v.slo_time) {}
 
 Verticals::Verticals(const Settings& s)
-    : margin(kMargin + 2 * s.tick), all(s.verticals.begin(), s.verticals.end()) {}
+    : margin(kMargin + 2 * s.timer_resolution), all(s.verticals.begin(), s.verticals.end()) {}
 
 // By how much longer a part should take than an average one, by its hint; a wrong one does little harm.
 double Verticals::excess(const Leaf& leaf) const {
-  if (leaf.work <= 0 || part_work <= 0) return 0;
-  return std::clamp(leaf.work - part_work, -part_work, 2 * part_work);
+  if (leaf.work_hint <= 0 || part_work <= 0) return 0;
+  return std::clamp(leaf.work_hint - part_work, -part_work, 2 * part_work);
 }
 
 // Parts out that were sent of late. Those stuck at nodes that answer nothing tell nothing of the others.
@@ -62,8 +62,8 @@
     v.lost = lost_after(samples);
     v.quick = quicker_half(samples);
     for (const auto& sample : v.strain.recent(now)) samples_of_all.push_back(sample);
-    needed += v.is.least * (static_cast<double>(samples_of_all.size()) - before);
-    v.delay = (many * quantile(samples, kHedgeQuantile) + kStartWeight * kStartShare * v.is.slo) /
+    needed += v.is.min_merge_share * (static_cast<double>(samples_of_all.size()) - before);
+    v.delay = (many * quantile(samples, kHedgeQuantile) + kStartWeight * kStartShare * v.is.slo_time) /
               (many + kStartWeight);
   }
   nodes.astray = 0;
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -31,7 +31,7 @@
 
 namespace yoketurn {
 
-class Router : private Actions, private Pool::Listener, private Listener::Asker, private Watch::Listener {
+class Router : private QueryActions, private Pool::Listener, private Listener::Asker, private Watch::Listener {
  public:
   // starting: not yet a node to send to. serving. draining: told to stop; goes on answering on the
   // connections it has, then closes them and answers what it holds. stopped: owes nothing.
@@ -88,10 +88,10 @@
   void send(long long query, const Send& send, int call) override;
   void cancel(long long query, const Cancel& cancel) override;
   void merge(long long query, bool whole) override;
-  void reject(long long query, double stay_away, const Why& why) override;
-  void abort(long long query, const Why& why) override;
-  void forget(long long query) override;
-  void ended(int vertical, const Call& call) override;
+  void reject(long long query, double stay_away, const Explanation& why) override;
+  void abort(long long query, const Explanation& why) override;
+  void release(long long query) override;
+  void on_call_ended(int vertical, const Call& call) override;
 
   void call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) override;
   void connected(int node, double took) override;
@@ -134,7 +134,7 @@
   void enter(Phase phase);
   void wind_up(double at);
   void tell_figures(double at);
-  void tell_of(std::string_view end, long long query, const Why& why);
+  void tell_of(std::string_view end, long long query, const Explanation& why);
 
   boost::asio::io_context& context_;
   Log& log_;
@@ -180,7 +180,7 @@
   int disk_failures_ = 0;
 
   // These tell of what they hold when they end, so all that is told of outlives them.
-  DueTimes due_;
+  TimerQueue due_;
   Queries queries_;
   Pool pool_;
   yoketurn::Listener clients_;
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -77,12 +77,12 @@
     for (const auto began = now(); ends.ended.size() < many && now() < began + 5;) {
       context.restart();
       context.run_for(std::chrono::milliseconds(5));
-      due.run(now());
+      due.run_due(now());
     }
     REQUIRE(ends.ended.size() == many);
   }
   boost::asio::io_context& context;
-  DueTimes due;
+  TimerQueue due;
   Ends ends;
   Log log{stderr, {false, spdlog::level::off, 16}};
   Pool pool{context, due, {10, 1, 1, 15}, 10, log, ends};
@@ -230,11 +230,11 @@
   CHECK(config.known.version == 4);
   REQUIRE(config.settings.verticals.size() == 3);
   CHECK(config.settings.verticals[1].effect == Effect::deduplicated);
-  CHECK(config.settings.verticals[1].window == 2);
-  CHECK(config.settings.verticals[2].second_step == 2);
+  CHECK(config.settings.verticals[1].dedup_window == 2);
+  CHECK(config.settings.verticals[2].second_step_parts == 2);
   CHECK(config.settings.zone == 0);
   CHECK(config.settings.customers.empty());
-  CHECK(config.settings.max_stay_away == 0.5);
+  CHECK(config.settings.max_retry_after == 0.5);
   CHECK(config.bounds.idle_timeout == 15);
   CHECK(config.bounds.max_open == 200);
   const auto wire = pairs("a=1 classes.count=1 classes.0.name=look");
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -13,48 +13,48 @@
 namespace {
 
 // Queries with what they want done written down.
-struct Desk : Actions {
+struct Desk : QueryActions {
   explicit Desk(const Settings& s = settings()) : queries(s, 7, now, due, *this) {
-    std::vector<Host> hosts;
+    std::vector<DiscoveredNode> hosts;
     for (int i = 0; i < 3; ++i) hosts.push_back({i, 0, i, true, 0});
-    queries.list(hosts, true, now);
+    queries.update_nodes(hosts, true, now);
   }
 
   void take(int vertical, int parts, long long number = 1) {
     Query q;
     q.vertical = vertical;
-    q.expires = now + 4;
-    queries.take(number, q, now);
-    for (int i = 0; i < parts; ++i) queries.take_part(number, {i, 1.0 / parts, 0, 1, false, {}}, now);
-    queries.finish(now);
+    q.deadline = now + 4;
+    queries.add_query(number, q, now);
+    for (int i = 0; i < parts; ++i) queries.add_part(number, {i, 1.0 / parts, 0, 1, false, {}}, now);
+    queries.process_changes(now);
   }
   // Other queries, so that a tenth of the parts sent is enough for a copy.
   void serve(int many) {
     for (int i = 2; i < 2 + many; ++i) {
       take(1, 1, i);
-      queries.outcome(i, 0, 0, Outcome::success, 0, now);
-      queries.finish(now);
+      queries.on_outcome(i, 0, 0, Outcome::success, 0, now);
+      queries.process_changes(now);
     }
     sends.clear();
     said.clear();
   }
   void pass(double seconds) {
     for (const auto end = now + seconds; now < end - 1e-9;) {
-      now = std::min(end, now + queries.period());
+      now = std::min(end, now + queries.tick_interval());
       queries.tick(now);
-      queries.finish(now);
+      queries.process_changes(now);
     }
   }
 
   void send(long long, const Send& send, int call) override { sends.push_back({send.leaf, call}); }
   void cancel(long long, const Cancel& cancel) override { cancels.push_back({cancel.leaf, cancel.call}); }
   void merge(long long, bool whole) override { said += whole ? "whole " : "part "; }
-  void reject(long long, double, const Why&) override { said += "reject "; }
-  void abort(long long, const Why&) override { said += "abort "; }
-  void forget(long long) override { said += "forget "; }
+  void reject(long long, double, const Explanation&) override { said += "reject "; }
+  void abort(long long, const Explanation&) override { said += "abort "; }
+  void release(long long) override { said += "forget "; }
 
   double now = 1000;
-  DueTimes due;
+  TimerQueue due;
   Queries queries;
   std::vector<std::pair<int, int>> sends, cancels;
   std::string said;
@@ -65,63 +65,63 @@
 TEST_SUITE_BEGIN("queries");
 
 TEST_CASE("due times come in order, each once, and can be dropped or moved") {
-  DueTimes due;
+  TimerQueue due;
   std::string ran;
   const auto note = [&](const char* what) { return [&ran, what](double) { ran += what; }; };
-  due.set(3, 2, note("c"));
-  due.set(1, 2, note("b"));
-  due.set(2, 1, note("a"));
-  due.set(4, 1, note("x"));
-  due.drop(4);
-  due.set(5, 1, note("d"));
-  due.set(5, 3, note("d"));
-  due.run(2.5);
+  due.schedule(3, 2, note("c"));
+  due.schedule(1, 2, note("b"));
+  due.schedule(2, 1, note("a"));
+  due.schedule(4, 1, note("x"));
+  due.cancel(4);
+  due.schedule(5, 1, note("d"));
+  due.schedule(5, 3, note("d"));
+  due.run_due(2.5);
   CHECK(ran == "abc");
-  CHECK(due.next() == 3);
-  due.run(9);
-  due.run(9);
+  CHECK(due.next_due() == 3);
+  due.run_due(9);
+  due.run_due(9);
   CHECK(ran == "abcd");
 }
 
 TEST_CASE("a second step goes to the shards whose answers that counted score highest") {
   auto s = settings();
-  s.verticals[0].second_step = 2;
+  s.verticals[0].second_step_parts = 2;
   Desk desk(s);
   desk.serve(20);
   desk.take(0, 3);
-  desk.queries.outcome(1, 0, 0, Outcome::success, 5, desk.now);
-  desk.queries.outcome(1, 1, 0, Outcome::success, 9, desk.now);
+  desk.queries.on_outcome(1, 0, 0, Outcome::success, 5, desk.now);
+  desk.queries.on_outcome(1, 1, 0, Outcome::success, 9, desk.now);
   desk.pass(1);  // the last part is copied, and the copy loses
   REQUIRE(desk.sends.size() == 4);
-  desk.queries.outcome(1, 2, 0, Outcome::success, 8, desk.now);
+  desk.queries.on_outcome(1, 2, 0, Outcome::success, 8, desk.now);
   CHECK(desk.cancels == std::vector<std::pair<int, int>>{{2, 1}});
-  desk.queries.outcome(1, 2, 1, Outcome::cancelled, 0, desk.now);
-  desk.queries.finish(desk.now);
+  desk.queries.on_outcome(1, 2, 1, Outcome::cancelled, 0, desk.now);
+  desk.queries.process_changes(desk.now);
   CHECK(desk.said == "whole ");
   REQUIRE(desk.queries.awaits_parts(1));
-  CHECK(desk.queries.second_step(1) == std::vector<int>{1, 2});
+  CHECK(desk.queries.second_step_leaves(1) == std::vector<int>{1, 2});
   for (const int shard : {1, 2})
-    CHECK(desk.queries.take_part(1, {shard, 0.5, 0, 2, false, {}}, desk.now) >= 3);
-  desk.queries.finish(desk.now);
+    CHECK(desk.queries.add_part(1, {shard, 0.5, 0, 2, false, {}}, desk.now) >= 3);
+  desk.queries.process_changes(desk.now);
   CHECK(!desk.queries.awaits_parts(1));
-  for (const int leaf : {3, 4}) desk.queries.outcome(1, leaf, 0, Outcome::success, 1, desk.now);
-  desk.queries.finish(desk.now);
+  for (const int leaf : {3, 4}) desk.queries.on_outcome(1, leaf, 0, Outcome::success, 1, desk.now);
+  desk.queries.process_changes(desk.now);
   CHECK(desk.said == "whole whole forget ");
 }
 
 TEST_CASE("an outcome counts once, and a query is kept until each of its calls has one") {
   Desk desk;
   desk.take(0, 1);
-  desk.queries.gone(1);
-  desk.queries.finish(desk.now);
+  desk.queries.abandon(1);
+  desk.queries.process_changes(desk.now);
   CHECK(desk.said.empty());
-  desk.queries.outcome(1, 0, 7, Outcome::success, 0, desk.now);  // no such call
-  desk.queries.finish(desk.now);
-  CHECK(desk.queries.holds(1));
-  for (int i = 0; i < 2; ++i) desk.queries.outcome(1, 0, 0, Outcome::success, 0, desk.now);
-  desk.queries.finish(desk.now);
+  desk.queries.on_outcome(1, 0, 7, Outcome::success, 0, desk.now);  // no such call
+  desk.queries.process_changes(desk.now);
+  CHECK(desk.queries.contains(1));
+  for (int i = 0; i < 2; ++i) desk.queries.on_outcome(1, 0, 0, Outcome::success, 0, desk.now);
+  desk.queries.process_changes(desk.now);
   CHECK(desk.said == "forget ");
-  CHECK(!desk.queries.holds(1));
+  CHECK(!desk.queries.contains(1));
 }
 
 TEST_CASE("a query that there is no room for is rejected by the module, whatever its effect") {
@@ -129,11 +129,11 @@
     Desk desk;
     Query q;
     q.vertical = vertical;
-    q.expires = desk.now + 4;
-    q.barred = Reason::no_room;
-    desk.queries.take(1, q, desk.now);
-    desk.queries.take_part(1, {0, 1, 0, 1, false, {}}, desk.now);
-    desk.queries.finish(desk.now);
+    q.deadline = desk.now + 4;
+    q.forced_rejection = Reason::too_many_pending;
+    desk.queries.add_query(1, q, desk.now);
+    desk.queries.add_part(1, {0, 1, 0, 1, false, {}}, desk.now);
+    desk.queries.process_changes(desk.now);
     CHECK(desk.said == "reject forget ");
     CHECK(desk.sends.empty());
   }
@@ -158,7 +158,7 @@
   constexpr int kFailures = 3;
   const char* failures[kFailures] = {"failure", "overloaded", "broken"};
   const char* verticals[] = {"look", "change", "book"};
-  struct Recorder : Actions {
+  struct Recorder : QueryActions {
     void send(long long query, const Send& send, int call) override {
       said += fmt::format("place {} {} {}\n", query * 10 + send.leaf, wire::micros(send.timeout), send.node);
       out.push_back({query, send.leaf, send.node, call});
@@ -169,13 +169,13 @@
     void merge(long long query, bool whole) override {
       said += fmt::format("answer {} {:d}\n", query * 10 + 9, whole);
     }
-    void reject(long long query, double away, const Why&) override {
+    void reject(long long query, double away, const Explanation&) override {
       said += fmt::format("reject {} {}\n", query * 10 + 9, wire::micros(away));
     }
-    void abort(long long query, const Why&) override {
+    void abort(long long query, const Explanation&) override {
       said += fmt::format("respond_error {}\n", query * 10 + 9);
     }
-    void forget(long long) override {}
+    void release(long long) override {}
     struct Out {
       long long query;
       int leaf, node, call;
@@ -185,14 +185,14 @@
   };
 
   Recorder recorder;
-  DueTimes due;
+  TimerQueue due;
   Queries queries(settings(pairs(setup)), 77, 1, due, recorder);
-  const Host hosts[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
-  queries.list(hosts, true, 1);
+  const DiscoveredNode hosts[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
+  queries.update_nodes(hosts, true, 1);
   std::string text = "frame 1000000 1\nopen_instance router-0 77 " + setup +
                      "\ninventory 0 3\nnode 0 a k 0 U 1 -\nnode 1 a k 1 U 1 -\nnode 2 b k 2 U 1 -\n"
                      "membership router-0 warm_copy 0 1\ngo\n";
-  queries.finish(1);
+  queries.process_changes(1);
   for (int turn = 1; turn <= 1200; ++turn) {
     const long long clock = 1000000 + 25000LL * turn;
     const auto at = static_cast<double>(clock) / 1e6;
@@ -206,12 +206,12 @@
       const int parts = 1 + turn % 4;
       Query q;
       q.vertical = vertical;
-      q.expires = static_cast<double>(clock + 1500000) / 1e6;
-      queries.take(turn, q, at);
+      q.deadline = static_cast<double>(clock + 1500000) / 1e6;
+      queries.add_query(turn, q, at);
       text += fmt::format("demand router-0 {} {} - - {} - {} -1 {} 0\n", turn * 10 + 9, verticals[vertical],
                           clock + 1500000, turn, parts);
       for (int i = 0; i < parts; ++i) {
-        queries.take_part(turn, {i, 1.0 / parts, 0, 1, false, {}}, at);
+        queries.add_part(turn, {i, 1.0 / parts, 0, 1, false, {}}, at);
         text += fmt::format("demand router-0 {} {} - - {} - {} {} {} 0\n", turn * 10 + i, verticals[vertical],
                             clock + 1500000, turn, i, 1.0 / parts);
       }
@@ -222,14 +222,14 @@
       if (call.node == turn / 40 % 4) continue;
       text += fmt::format("response router-0 {} {} {} {} 1 1 -\n", call.query * 10 + call.leaf, call.call,
                           call.node, verdict);
-      queries.outcome(call.query, call.leaf, call.call, wire::outcome(verdict), 0, at);
+      queries.on_outcome(call.query, call.leaf, call.call, wire::outcome(verdict), 0, at);
     }
     if (turn % 50 == 0) {
       text += fmt::format("gone router-0 {}\n", (turn - turn % 3) * 10 + 9);
-      queries.gone(turn - turn % 3);
+      queries.abandon(turn - turn % 3);
     }
     text += "reminder router-0 due\ngo\n";
-    queries.finish(at);
+    queries.process_changes(at);
   }
   std::istringstream in(text);
   std::ostringstream out, log;
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -29,8 +29,8 @@
     Settings s;
     s.zone = own;
     s.start_capacity = 0.3;
-    s.cold_time = 10;
-    s.fall_multiple = 2;
+    s.slow_start_time = 10;
+    s.overload_multiple = 2;
     return s;
   }
   void site(int which, Fate what) {
@@ -59,9 +59,9 @@
       const auto shares = view.shares();
       if (!shares.empty()) {
         const auto& s = shares[static_cast<std::size_t>(of)];
-        const auto born = hosts[static_cast<std::size_t>(node)].born;
-        if (born <= s.since && s.lost && !s.trial) continue;
-        if (born <= s.since && !s.lost && std::uniform_real_distribution<>(0, 1)(chance) >= s.share) continue;
+        const auto born = hosts[static_cast<std::size_t>(node)].started_at;
+        if (born <= s.lost_at && s.lost && !s.probe_allowed) continue;
+        if (born <= s.lost_at && !s.lost && std::uniform_real_distribution<>(0, 1)(chance) >= s.share) continue;
       }
       send(node);
     }
@@ -105,7 +105,7 @@
   int many, per_site;
   std::mt19937 chance;
   double now = 100, ticked = 100, slow = 1;
-  std::vector<Host> hosts;
+  std::vector<DiscoveredNode> hosts;
   std::vector<Fate> fate;
   std::deque<Due> due;
   std::vector<SiteNews> all_news;
@@ -233,7 +233,7 @@
   CHECK(alone.view.shares().empty());
   Settings s;
   Sites none(s, 1);
-  const Host host{0, kNone, 0, true, 0};
+  const DiscoveredNode host{0, kNone, 0, true, 0};
   none.list({&host, 1}, true, 1);
   none.sent(0, 1);
   none.ended(0, 1, Outcome::unreachable, 1.1);
@@ -324,11 +324,11 @@
   REQUIRE(town.lost(1));
   town.view.list(town.hosts, true, town.now);
   CHECK(town.lost(1));
-  for (int n = 8; n < 16; ++n) town.hosts[static_cast<std::size_t>(n)].born = town.now;
+  for (int n = 8; n < 16; ++n) town.hosts[static_cast<std::size_t>(n)].started_at = town.now;
   town.view.list(town.hosts, true, town.now);
   CHECK(town.view.belief(1) == SiteBelief::returning);
   // The new processes are not judged by the old ones' loss.
-  CHECK(town.hosts[8].born > town.view.shares()[1].since);
+  CHECK(town.hosts[8].started_at > town.view.shares()[1].lost_at);
 }
 
 TEST_CASE("an evacuation empties a site at its rate, is held back while another is lost, and ends") {
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -34,7 +34,7 @@
 }
 
 constexpr auto kSuccess = static_cast<std::uint8_t>(Outcome::success);
-constexpr auto kFirst = static_cast<std::uint8_t>(Reason::first);
+constexpr auto kFirst = static_cast<std::uint8_t>(Reason::first_call);
 
 struct Folder {
   Folder() { std::filesystem::remove_all(path); }
@@ -94,7 +94,7 @@
       const auto line = lines[chance() % lines.size()];
       const What kinds[] = {What::sent, What::outcome, What::passed, What::closed};
       const auto what = kinds[chance() % 4];
-      const auto why = what == What::passed ? static_cast<std::uint8_t>(Reason::cold)
+      const auto why = what == What::passed ? static_cast<std::uint8_t>(Reason::slow_start)
                        : what == What::sent ? static_cast<std::uint8_t>(1 + chance() % 4)
                                             : static_cast<std::uint8_t>(1 + chance() % 7);
       timeline.record(event(now, line, what, why, static_cast<float>(chance() % 1000) / 1000));
@@ -129,9 +129,9 @@
   const auto line = timeline.open("n", "", 0);
   const auto before = timeline.events().end();
   for (int i = 0; i < 40; ++i)
-    timeline.record(event(0.2 + i * 0.001, line, What::passed, static_cast<std::uint8_t>(Reason::dearer)));
+    timeline.record(event(0.2 + i * 0.001, line, What::passed, static_cast<std::uint8_t>(Reason::worse_score)));
   timeline.record(event(0.5, line, What::passed, static_cast<std::uint8_t>(Reason::suspect)));
-  timeline.record(event(1.5, line, What::passed, static_cast<std::uint8_t>(Reason::dearer)));
+  timeline.record(event(1.5, line, What::passed, static_cast<std::uint8_t>(Reason::worse_score)));
   CHECK(timeline.events().end() - before == 3);
   timeline.tick(5, 0);
   int passed = 0;
@@ -168,7 +168,7 @@
 
 TEST_CASE("calls sent are outcomes and those still out, for each node at each moment") {
   const auto good = rc::check("calls", [] {
-    struct Counting : Actions {
+    struct Counting : QueryActions {
       std::map<int, int> out;
       std::vector<std::tuple<long long, int, int, int>> calls;  // query, leaf, call, node
       void send(long long query, const Send& send, int call) override {
@@ -177,39 +177,39 @@
       }
       void cancel(long long, const Cancel&) override {}
       void merge(long long, bool) override {}
-      void reject(long long, double, const Why&) override {}
-      void abort(long long, const Why&) override {}
-      void forget(long long) override {}
+      void reject(long long, double, const Explanation&) override {}
+      void abort(long long, const Explanation&) override {}
+      void release(long long) override {}
     } actions;
-    DueTimes due;
+    TimerQueue due;
     std::mt19937 chance(*rc::gen::arbitrary<unsigned>());
     double now = 50;
     Queries queries(test::settings(), chance(), now, due, actions);
     Recorder recorder({4 << 20, 0.5, 16}, {}, true, 3, now, 0);
-    queries.witness(&recorder);
-    std::vector<Host> hosts;
+    queries.set_observer(&recorder);
+    std::vector<DiscoveredNode> hosts;
     for (int i = 0; i < 5; ++i) {
       hosts.push_back({i, 0, i % 3, true, 0});
       recorder.listed(i, fmt::format("n{}", i), "", true, 0, 1, now);
     }
-    queries.list(hosts, true, 0);
+    queries.update_nodes(hosts, true, 0);
     for (long long number = 1; number < 400; ++number) {
       now += 0.002 * static_cast<double>(chance() % 40);
       Query q;
       q.vertical = static_cast<int>(chance() % 3);
-      q.expires = now + 2;
-      queries.take(number, q, now);
-      for (int i = 0; i < 3; ++i) queries.take_part(number, {i, 1.0 / 3, 0, 1, false, {}}, now);
+      q.deadline = now + 2;
+      queries.add_query(number, q, now);
+      for (int i = 0; i < 3; ++i) queries.add_part(number, {i, 1.0 / 3, 0, 1, false, {}}, now);
       while (!actions.calls.empty() && chance() % 4 != 0) {
         const auto which = chance() % actions.calls.size();
         const auto [query, leaf, call, node] = actions.calls[which];
         actions.calls.erase(actions.calls.begin() + static_cast<std::ptrdiff_t>(which));
         --actions.out[node];
-        queries.outcome(query, leaf, call, static_cast<Outcome>(1 + chance() % 9), 0, now);
+        queries.on_outcome(query, leaf, call, static_cast<Outcome>(1 + chance() % 9), 0, now);
       }
       queries.tick(now);
-      queries.finish(now);
-      if (chance() % 30 == 0) queries.gone(number);
+      queries.process_changes(now);
+      if (chance() % 30 == 0) queries.abandon(number);
       recorder.tick(now, 0);
       for (const auto& line : recorder.timeline().lines()) {
         if (line.id <= kLoop) continue;
