--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -22,13 +22,13 @@
 enum class Effect { repeatable, deduplicated, side_effecting };
 
 struct Vertical {
-  double slo_time = 0;          // an answer within it earns the full utility
+  double slo_time = 0;     // an answer within it earns the full utility
   double slo_stretch = 0;  // plus this multiple of the query's own work
   double utility = 1;
   double late_utility = 0;  // share of the utility after the SLO time
   Effect effect = Effect::repeatable;
-  double dedup_window = 0;  // deduplicated: repeats are dropped for so long
-  double min_merge_share = 1;   // share of the weight below which nothing may be merged
+  double dedup_window = 0;     // deduplicated: repeats are dropped for so long
+  double min_merge_share = 1;  // share of the weight below which nothing may be merged
   double complete_share = 1;   // share of the weight that makes a whole answer
   double partial_utility = 0;
   int second_step_parts = 0;  // parts of the second step
@@ -68,7 +68,7 @@
   int node = kNone;
   int zone = kNone;
   int cell = 0;
-  bool up = true;   // false: draining or gone
+  bool up = true;         // false: draining or gone
   double started_at = 0;  // 0: long ago
 };
 
@@ -80,7 +80,8 @@
   timed_out,
   unreachable,
   disconnected,
-  malformed,  // the answer, or another on its connection, could not be read: the node lives, and may have run it
+  malformed,  // the answer, or another on its connection, could not be read: the node lives, and may have run
+              // it
   cancelled,
   unsent
 };
@@ -118,35 +119,35 @@
   none,
   // A part is sent: score of the chosen node, of the next best (infinite: there is none), the hedge delay.
   first_call,
-  copy,          // late by the hedge delay
+  copy,           // late by the hedge delay
   resent_lost,    // its call is taken for lost
   resent_failed,  // each of its calls has ended
   // A call is cancelled: its age.
-  race_lost,    // the part is in
+  race_lost,      // the part is in
   presumed_lost,  // it goes out again elsewhere
   // A part waits.
-  within_hedge_delay,       // its call is out and not late: its age, the hedge delay
-  copy_budget_spent,  // it is late, but a tenth of the parts were copied: copies, parts sent
-  no_faster_node,  // the best other node would not answer soon enough: its score, the bound
-  no_node_left,     // no node that holds it may be sent it now
-  retry_delayed,        // only nodes that have failed it are left: until it goes out again
+  within_hedge_delay,  // its call is out and not late: its age, the hedge delay
+  copy_budget_spent,   // it is late, but a tenth of the parts were copied: copies, parts sent
+  no_faster_node,      // the best other node would not answer soon enough: its score, the bound
+  no_node_left,        // no node that holds it may be sent it now
+  retry_delayed,       // only nodes that have failed it are left: until it goes out again
   max_calls_reached,   // it has had its most calls: their number
   retry_budget_spent,  // the budget of further calls: spent, most
-  may_have_run,  // a further call could have its effect twice
+  may_have_run,        // a further call could have its effect twice
   // A node is passed over.
-  worse_score,   // its score, that of the best
-  unavailable,     // draining or gone
+  worse_score,    // its score, that of the best
+  unavailable,    // draining or gone
   slow_start,     // parts it was sent, parts it may be sent
-  suspect,  // its score without the suspicion, until when it is left alone, parts waiting there
-  already_tried,    // the part has been there
+  suspect,        // its score without the suspicion, until when it is left alone, parts waiting there
+  already_tried,  // the part has been there
   // A query ends.
-  complete,         // share that is in
-  partial,         // enough is in and nothing more is worth the wait: share that is in
-  too_many_pending,       // too many in hand
-  overloaded,      // foretold latency to the time of a step, prospect, chance of the refusal
-  unlikely_in_time,      // the same
+  complete,           // share that is in
+  partial,            // enough is in and nothing more is worth the wait: share that is in
+  too_many_pending,   // too many in hand
+  overloaded,         // foretold latency to the time of a step, prospect, chance of the refusal
+  unlikely_in_time,   // the same
   too_few_reachable,  // the same: too few of its parts have a node to go to
-  deadline_passed,     // share that is in
+  deadline_passed,    // share that is in
   share_unreachable,  // share that is in, share that may still come
   // A node is passed over for its site: the share that this gets, how long ago it was lost.
   site_avoided,
@@ -163,7 +164,7 @@
   Reason forced_rejection = Reason::none;  // why it is not taken, whatever it is worth
   bool admitted = false;
   int step = 1;
-  int parts_expected = 0;           // parts of this step that have not been named yet
+  int parts_expected = 0;            // parts of this step that have not been named yet
   bool first_step_complete = false;  // the first step was merged whole
   bool ended = false;
   std::vector<Leaf> leaves;
@@ -192,7 +193,8 @@
   int batch = kNone;
   double timeout = 0;
   Explanation explanation;
-  double max_send_delay = std::numeric_limits<double>::infinity();  // its first byte leaves within so long, or never
+  double max_send_delay =
+      std::numeric_limits<double>::infinity();  // its first byte leaves within so long, or never
 };
 
 struct Cancel {
@@ -220,10 +222,10 @@
 
 // What a site (a zone of the list) may get, as src/sites believes.
 struct SiteShare {
-  bool lost = false;   // nothing, but for a trial
+  bool lost = false;           // nothing, but for a trial
   bool probe_allowed = false;  // a part may be sent there to see
-  double share = 1;    // of what its nodes would get by their scores
-  double lost_at = 0;    // when it was lost: a process born later is not judged by that
+  double share = 1;            // of what its nodes would get by their scores
+  double lost_at = 0;          // when it was lost: a process born later is not judged by that
 };
 
 // What is believed of a node.
@@ -237,24 +239,27 @@
 
   // The three questions.
   virtual Decision route(Query& q, double now) = 0;
-  virtual Decision on_call_ended(Query& q, int leaf, int call, double now) = 0;  // the outcome stands in the call
+  virtual Decision on_call_ended(Query& q, int leaf, int call,
+                                 double now) = 0;  // the outcome stands in the call
   virtual double time_to_next_check(const Query& q, double now) const = 0;
 
   virtual void on_requests_received(int requests, double now) = 0;  // so many queries and parts came in
   // told: discovery says so now; else it is what was known last, before the start.
   virtual void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) = 0;
-  virtual void remove_node(int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
+  virtual void remove_node(
+      int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
   virtual void on_node_list_failed(double now) = 0;
   virtual bool tick(double now) = 0;  // whether the list must be asked for
   virtual double tick_interval() const = 0;
-  virtual std::vector<PeerReport> take_peer_reports() = 0;  // to all other routers: what there is to tell since the last call
+  virtual std::vector<PeerReport>
+  take_peer_reports() = 0;  // to all other routers: what there is to tell since the last call
   virtual void on_peer_report(PeerReport word, double now) = 0;
   virtual void set_site_shares(std::span<const SiteShare> sites) = 0;  // by zone; empty: all are sound
 
   // Has what is passed over and what waits noted from now on, at most kMostJudged an answer.
   virtual void enable_trace(bool on) = 0;
   virtual std::span<const DecisionTraceEntry> trace() const = 0;  // of the last answer
-  virtual long long dropped_trace_entries() const = 0;              // choices there was no room to note, since the start
+  virtual long long dropped_trace_entries() const = 0;  // choices there was no room to note, since the start
   virtual NodeHealth node_health(int node, double now) const = 0;
 };
 
--- a/src/departures/departures.cpp
+++ b/src/departures/departures.cpp
@@ -40,11 +40,12 @@
 constexpr std::size_t kMostTimes = 64;
 
 bool answered_by_node(Outcome o) {
-  return o == Outcome::success || o == Outcome::failure || o == Outcome::overloaded || o == Outcome::malformed;
+  return o == Outcome::success || o == Outcome::failure || o == Outcome::overloaded ||
+         o == Outcome::malformed;
 }
 bool bad(Outcome o) {
-  return o == Outcome::failure || o == Outcome::overloaded || o == Outcome::malformed || o == Outcome::disconnected ||
-         o == Outcome::unreachable;
+  return o == Outcome::failure || o == Outcome::overloaded || o == Outcome::malformed ||
+         o == Outcome::disconnected || o == Outcome::unreachable;
 }
 
 void keep(std::deque<double>& times, double now, double span) {
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -130,12 +130,7 @@
 
 Watch::Watch(asio::io_context& context, TimerQueue& due, const asio::ip::tcp::endpoint& agent, Log& log,
              Listener& listener)
-    : context_(context),
-      due_(due),
-      agent_(agent),
-      log_(log),
-      listener_(listener),
-      due_key_(due.new_key()) {}
+    : context_(context), due_(due), agent_(agent), log_(log), listener_(listener), due_key_(due.new_key()) {}
 
 Watch::~Watch() {
   if (connection_) connection_->watch = nullptr;
--- a/src/emulator/designs.cpp
+++ b/src/emulator/designs.cpp
@@ -193,7 +193,8 @@
                                  ? std::vector<int>{}
                                  : by_cell_[static_cast<std::size_t>((leaf.shard + i) % is_.cell_count)]) {
         const auto& host = hosts_[static_cast<std::size_t>(node)];
-        const auto cold = host.started_at > 0 && now < host.started_at + is_.slow_start_time && !breaks(Design::Broken::cold);
+        const auto cold = host.started_at > 0 && now < host.started_at + is_.slow_start_time &&
+                          !breaks(Design::Broken::cold);
         if (node == but || cold) continue;
         const auto tried =
             std::any_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& c) { return c.node == node; });
@@ -271,7 +272,7 @@
 }
 
 std::unique_ptr<RoutingPolicy> plain(const Settings& settings, const Design& design, std::uint64_t seed,
-                                 std::function<double(int node)> waiting) {
+                                     std::function<double(int node)> waiting) {
   return std::make_unique<Plain>(settings, design, seed, std::move(waiting));
 }
 
--- a/src/emulator/designs.hpp
+++ b/src/emulator/designs.hpp
@@ -30,6 +30,6 @@
 
 // waiting: the true number of parts at a node, infinite where it is dead or out of reach.
 std::unique_ptr<RoutingPolicy> plain(const Settings& settings, const Design& design, std::uint64_t seed,
-                                 std::function<double(int node)> waiting);
+                                     std::function<double(int node)> waiting);
 
 }  // namespace yoketurn::emulator
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -201,10 +201,10 @@
   if (send.max_send_delay < send.timeout) {
     held.out.back().by = due_.new_key();
     due_.schedule(held.out.back().by, now() + send.max_send_delay,
-             [this, query, leaf = send.leaf, call](double) { withdraw(query, leaf, call); });
+                  [this, query, leaf = send.leaf, call](double) { withdraw(query, leaf, call); });
   }
   due_.schedule(due, now() + send.timeout,
-           [this, query, leaf = send.leaf, call](double) { timed_out(query, leaf, call); });
+                [this, query, leaf = send.leaf, call](double) { timed_out(query, leaf, call); });
 }
 
 void Process::cancel(long long query, const Cancel& cancel) {
--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -30,8 +30,8 @@
     std::function<FlightRef(Process&, long long request, const Send&, int leaf, int call)> send;
     std::function<bool(FlightRef)> give_up;  // whether any byte of it had gone
     std::function<bool(FlightRef)> unsent;   // whether no byte of it has; it never will then
-    std::function<void(Process&, long long request, int status, double retry_after, const Explanation&, bool whole,
-                       const std::vector<int>& shards)>
+    std::function<void(Process&, long long request, int status, double retry_after, const Explanation&,
+                       bool whole, const std::vector<int>& shards)>
         answer;
     std::function<void(Process&, const SiteNews&)> believes;
     std::function<void(Process&, const Call&)> settled;
--- a/src/emulator/town.cpp
+++ b/src/emulator/town.cpp
@@ -95,8 +95,8 @@
   };
   world_.give_up = [this](FlightRef part) { return network_->give_up(part); };
   world_.unsent = [this](FlightRef part) { return network_->unsend(part); };
-  world_.answer = [this](Process& from, long long request, int status, double retry_after, const Explanation& why,
-                         bool whole, const std::vector<int>& shards) {
+  world_.answer = [this](Process& from, long long request, int status, double retry_after,
+                         const Explanation& why, bool whole, const std::vector<int>& shards) {
     answered(from, request, status, retry_after, why, whole, shards);
   };
   world_.believes = [this](Process& process, const SiteNews& news) { believes(process, news); };
@@ -198,7 +198,9 @@
   flight.until = engine_.now() + send.timeout;
   auto& m = moment();
   ++played_.parts;
-  ++(send.explanation.reason == Reason::first_call ? m.sent : send.explanation.reason == Reason::copy ? m.copies : m.again);
+  ++(send.explanation.reason == Reason::first_call ? m.sent
+     : send.explanation.reason == Reason::copy     ? m.copies
+                                                   : m.again);
   network_->send(ref);
   return ref;
 }
--- a/src/emulator/town.hpp
+++ b/src/emulator/town.hpp
@@ -101,8 +101,8 @@
 
   // Routers.
   FlightRef send(Process& from, long long request, const Send& send, int leaf, int call);
-  void answered(Process& from, long long request, int status, double retry_after, const Explanation& why, bool whole,
-                const std::vector<int>& shards);
+  void answered(Process& from, long long request, int status, double retry_after, const Explanation& why,
+                bool whole, const std::vector<int>& shards);
   void believes(Process& process, const SiteNews& news);
   void end(int router, const char* how);
   void start(int router);
--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -20,7 +20,8 @@
   void set_chosen(std::size_t from, int chosen, double best) {
     for (auto i = from; i < entries.size(); ++i) {
       entries[i].chosen_node = chosen;
-      if (entries[i].explanation.reason == Reason::worse_score) entries[i].explanation.b = static_cast<float>(best);
+      if (entries[i].explanation.reason == Reason::worse_score)
+        entries[i].explanation.b = static_cast<float>(best);
     }
   }
 };
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -15,7 +15,8 @@
     : over_share(s.over_quota_utility),
       utility_by_work(s.utility_by_work),
       strain_from(s.max_retry_after > 0 ? kStrainFrom : kStrainFrom + kAtOnce) {
-  for (const auto& c : s.customers) customers.push_back({c.quota / s.router_count, c.quota / s.router_count, now});
+  for (const auto& c : s.customers)
+    customers.push_back({c.quota / s.router_count, c.quota / s.router_count, now});
 }
 
 // The share of its utility that a query can be expected to earn in its time, by how long others of late took.
@@ -49,7 +50,7 @@
 }
 
 Explanation Admission::refuse(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance,
-                      double now) {
+                              double now) {
   auto& v = verticals.of(q);
   const auto& part_work = verticals.part_work;
   double work = q.work_hint;
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -27,6 +27,7 @@
   // Whether enough of its parts have a replica that is not shunned. The others would do work for nothing.
   static bool within_reach(const Query& q, const Verticals& verticals, Nodes& nodes, double now);
   // Refusal by chance under strain: the less utility for its work, the likelier. Reason::none: it is taken.
-  Explanation refuse(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance, double now);
+  Explanation refuse(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance,
+                     double now);
 };
 }  // namespace yoketurn::policy
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -75,7 +75,8 @@
       relative_work(aims(s)),
       is(s),
       chance(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
-      taken(s.retry_budget_window - verticals.margin),   // a little short, and the further calls a little long:
+      taken(s.retry_budget_window -
+            verticals.margin),  // a little short, and the further calls a little long:
       extras(s.retry_budget_window + verticals.margin),  // so that the budget holds in any window
       ticked(now),
       ask_after(now),
@@ -90,10 +91,11 @@
 
 // The one guard that every send passes: why a part may not be sent to a node.
 Explanation AdaptiveRoutingPolicy::State::barred(const Query& q, const Leaf& leaf, Node& node, double now) {
-  if (q.ended || leaf.answered || now >= verticals.last_end(q)) return explain(Reason::deadline_passed);  // rule 1
+  if (q.ended || leaf.answered || now >= verticals.last_end(q))
+    return explain(Reason::deadline_passed);  // rule 1
   if (leaf.attempts() >= is.max_calls) return explain(Reason::max_calls_reached, is.max_calls);
   if (now >= resend_until(q, leaf)) return explain(Reason::may_have_run);  // rule 2
-  if (!node.up) return explain(Reason::unavailable);                              // rule 3
+  if (!node.up) return explain(Reason::unavailable);                       // rule 3
   if (nodes.cold.is(node, now) &&
       !nodes.cold.allows(node, relative_work.of(q.vertical), now, chance))  // rule 4
     return explain(Reason::slow_start, node.sent.recent(now), nodes.cold.most(node, now));
@@ -110,11 +112,14 @@
   if (v.effect == Effect::repeatable) return kNever;
   const auto first = std::find_if(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
   if (first == leaf.calls.end()) return kNever;
-  return v.effect == Effect::deduplicated ? first->sent_at + v.dedup_window - verticals.margin - kMaxSendStallSeconds : 0;
+  return v.effect == Effect::deduplicated
+             ? first->sent_at + v.dedup_window - verticals.margin - kMaxSendStallSeconds
+             : 0;
 }
 
 // The node for a part, or why there is none.
-int AdaptiveRoutingPolicy::State::choose(const Query& q, int index, bool beside, double now, double& best, Explanation& because) {
+int AdaptiveRoutingPolicy::State::choose(const Query& q, int index, bool beside, double now, double& best,
+                                         Explanation& because) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
   int chosen = kNone;
   double next = kNever;
@@ -144,12 +149,13 @@
       if (!of_node && bar.reason != Reason::none) because = bar;
       if (bar.reason != Reason::none) return false;
       const auto by_site = nodes.by_site(node, leaf.calls.empty() && repeatable(q), chance);
-      if (by_site <= 0) return judged.add(index, i, explain(Reason::site_avoided, now - nodes.site(node)->lost_at)), false;
+      if (by_site <= 0)
+        return judged.add(index, i, explain(Reason::site_avoided, now - nodes.site(node)->lost_at)), false;
       const auto shunned = nodes.shunned(node, now);
       if (shunned)
         judged.add(index, i,
-                    explain(Reason::suspect, nodes.latency(node, now), std::max(node.trial_at - now, 0.0),
-                        static_cast<double>(node.waiting.size())));
+                   explain(Reason::suspect, nodes.latency(node, now), std::max(node.trial_at - now, 0.0),
+                           static_cast<double>(node.waiting.size())));
       // A further call at a node under suspicion would most likely be spent in vain and keep it full.
       if (!leaf.calls.empty() && shunned) return false;
       const auto value = by_site * nodes.score(node, now) * (node.zone == nodes.zone ? 1 : 1 + kZoneTie) *
@@ -157,7 +163,8 @@
       const auto better = value < best;
       next = better ? best : std::min(next, value);
       const auto loser = better ? chosen : i;
-      if (loser != kNone && !(shunned && loser == i)) judged.add(index, loser, explain(Reason::worse_score, next));
+      if (loser != kNone && !(shunned && loser == i))
+        judged.add(index, loser, explain(Reason::worse_score, next));
       if (better) {
         best = value;
         chosen = i;
@@ -182,7 +189,8 @@
          std::all_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& call) {
            const auto& node = at(call.node);
            return !call.pending() || (nodes.lost(node) && call.sent_at <= nodes.site(node)->lost_at) ||
-                  ((nodes.overtaken(node, call.sent_at, now) || (node.suspect && node.answered < call.sent_at)) &&
+                  ((nodes.overtaken(node, call.sent_at, now) ||
+                    (node.suspect && node.answered < call.sent_at)) &&
                    now >= call.sent_at + of(q).lost + verticals.excess(leaf));
          });
 }
@@ -196,9 +204,10 @@
   const auto copy = due && copies.recent(now) + 1 <= kCopyShare * sent;
   const auto again = out && !copy && lost(q, leaf, now);
   if (out && !copy && !again)
-    return judged.add(index, kNone,
-                       due ? explain(Reason::copy_budget_spent, copies.recent(now), sent)
-                           : explain(Reason::within_hedge_delay, now - leaf.calls.back().sent_at, of(q).delay));
+    return judged.add(
+        index, kNone,
+        due ? explain(Reason::copy_budget_spent, copies.recent(now), sent)
+            : explain(Reason::within_hedge_delay, now - leaf.calls.back().sent_at, of(q).delay));
   Explanation because;
   double best = 0;
   const auto node = choose(q, index, out, now, best, because);
@@ -216,7 +225,8 @@
   answer.sends.push_back(commit(q, index, node, because, now));
 }
 
-Send AdaptiveRoutingPolicy::State::commit(const Query& q, int leaf_index, int node_index, Explanation because, double now) {
+Send AdaptiveRoutingPolicy::State::commit(const Query& q, int leaf_index, int node_index, Explanation because,
+                                          double now) {
   const auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
   auto& node = at(node_index);
   nodes.touch(node_index);
@@ -270,11 +280,13 @@
   if (q.parts_expected > 0) possible[q.step - 1] = 1;
   Decision answer;
   const auto now_in = in[q.step - 1], now_possible = possible[q.step - 1];
-  const auto whole = q.step == 1 ? now_in >= v.complete_share - kRounding : second_in && q.parts_expected == 0;
-  const auto enough =
-      q.parts_expected == 0 && now_in >= v.min_merge_share - kRounding && (q.step == 1 || v.min_merge_share < v.complete_share || second_in);
+  const auto whole =
+      q.step == 1 ? now_in >= v.complete_share - kRounding : second_in && q.parts_expected == 0;
+  const auto enough = q.parts_expected == 0 && now_in >= v.min_merge_share - kRounding &&
+                      (q.step == 1 || v.min_merge_share < v.complete_share || second_in);
   if (whole) {
-    answer.query_end = q.step == 1 || q.first_step_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial;
+    answer.query_end =
+        q.step == 1 || q.first_step_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial;
     answer.explanation = explain(Reason::complete, now_in);
     return answer;
   }
@@ -288,7 +300,8 @@
     return answer;
   }
   const auto least = v.min_merge_share < v.complete_share ? v.min_merge_share : need;
-  if (now_possible < least - kRounding) return give_up(q, explain(Reason::share_unreachable, now_in, now_possible));
+  if (now_possible < least - kRounding)
+    return give_up(q, explain(Reason::share_unreachable, now_in, now_possible));
   if (over || (late && v.late_utility <= 0)) return give_up(q, explain(Reason::deadline_passed, now_in));
   return answer;
 }
@@ -359,8 +372,9 @@
   }
   if (answer.query_end != QueryEnd::none || q.parts_expected > 0) return answer;
   if (!q.admitted) {
-    const auto refused =
-        q.forced_rejection != Reason::none ? explain(q.forced_rejection) : s.admission.refuse(q, s.verticals, s.nodes, s.chance, now);
+    const auto refused = q.forced_rejection != Reason::none
+                             ? explain(q.forced_rejection)
+                             : s.admission.refuse(q, s.verticals, s.nodes, s.chance, now);
     if (refused.reason != Reason::none) return s.give_up(q, refused);
   }
   if (!q.admitted)
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -36,7 +36,7 @@
   std::multiset<double> waiting;  // when the parts that wait there were sent
   int open_group = kNone;         // the call that parts sent at open_at may join
   double open_at = -1;
-  WindowCounter sent;                    // work, in mean parts, over the time in which a cold node may be pushed over
+  WindowCounter sent;            // work, in mean parts, over the time in which a cold node may be pushed over
   double credit = 0;             // parts that it may be sent now, while it is cold and they are spaced out
   double credited = 0;           // when that was last looked at
   std::multiset<double> others;  // when others sent the parts that they have waiting there, as they tell
@@ -76,18 +76,18 @@
   Cold cold;
   int zone, parts_a_call, cells, span;
   bool may_tell;
-  std::vector<PeerReport> words;       // to be told
-  int listed_up = 0;             // nodes that are up by the last list
-  std::vector<SiteShare> sites;  // by zone; empty: all are sound
+  std::vector<PeerReport> words;  // to be told
+  int listed_up = 0;              // nodes that are up by the last list
+  std::vector<SiteShare> sites;   // by zone; empty: all are sound
   std::vector<Node> all;
   std::vector<Way> ways;
   std::vector<std::vector<int>> by_cell;
   SmoothedMean average{kAverageWeight};  // latency of a part, over all nodes
   SmoothedMean cost{kAverageWeight};     // the same with failures, each as the time it costs
-  double median = 0;                 // that of the last moments, with what is out
-  double astray = kNever;            // the age from which a part that others have overtaken is lost
-  double up = 0;                     // how many, as of the last tick
-  std::vector<bool> active;          // nodes that tick() has to look at: with parts out, suspicion or news
+  double median = 0;                     // that of the last moments, with what is out
+  double astray = kNever;                // the age from which a part that others have overtaken is lost
+  double up = 0;                         // how many, as of the last tick
+  std::vector<bool> active;  // nodes that tick() has to look at: with parts out, suspicion or news
 
   Node& at(int node) { return all[static_cast<std::size_t>(node)]; }
   Node unheard() const;
--- a/src/policy/verticals.hpp
+++ b/src/policy/verticals.hpp
@@ -37,13 +37,14 @@
   std::vector<VerticalState> all;
   SmoothedMean part_work{kAverageWeight};    // by the hints
   SmoothedMean query_parts{kAverageWeight};  // of a query
-  double strain = 0;                     // part latency to the time that a step has
-  double typical_out = 0;                // parts out while that was measured
+  double strain = 0;                         // part latency to the time that a step has
+  double typical_out = 0;                    // parts out while that was measured
 
   VerticalState& of(const Query& q) { return all[static_cast<std::size_t>(q.vertical)]; }
   const Vertical& told(const Query& q) const { return all[static_cast<std::size_t>(q.vertical)].is; }
   double slo_end(const Query& q) const {
-    return std::min(q.received_at + told(q).slo_time + told(q).slo_stretch * q.work_hint, q.deadline) - margin;
+    return std::min(q.received_at + told(q).slo_time + told(q).slo_stretch * q.work_hint, q.deadline) -
+           margin;
   }
   double last_end(const Query& q) const { return q.deadline - margin; }
   int steps(const Query& q) const { return told(q).second_step_parts > 0 ? 2 : 1; }
@@ -57,7 +58,9 @@
   double timeout(const Query& q, double now) const {
     return (told(q).late_utility > 0 ? last_end(q) : slo_end(q)) - now;
   }
-  double copy_at(const Query& q, const Leaf& leaf) { return leaf.calls[0].sent_at + of(q).delay + excess(leaf); }
+  double copy_at(const Query& q, const Leaf& leaf) {
+    return leaf.calls[0].sent_at + of(q).delay + excess(leaf);
+  }
   double excess(const Leaf& leaf) const;
   double out(double now) const;
   void estimate(double now, double since, Nodes& nodes);
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -4,7 +4,8 @@
 
 namespace yoketurn {
 
-Queries::Queries(const Settings& settings, std::uint64_t seed, double now, TimerQueue& due, QueryActions& actions)
+Queries::Queries(const Settings& settings, std::uint64_t seed, double now, TimerQueue& due,
+                 QueryActions& actions)
     : Queries(std::make_unique<AdaptiveRoutingPolicy>(settings, seed, now), settings, seed, due, actions) {}
 
 Queries::Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed,
@@ -49,7 +50,7 @@
 }
 
 void Queries::on_outcome(long long number, int leaf, int call_number, Outcome outcome, double score,
-                      double now) {
+                         double now) {
   const auto at = held_.find(number);
   if (at == held_.end()) return;
   auto& held = *at->second;
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -25,7 +25,7 @@
   virtual void reject(long long query, double stay_away, const Explanation& why) = 0;
   virtual void abort(long long query, const Explanation& why) = 0;
   virtual void release(long long query) = 0;       // ended, and no call is out any more
-  virtual void on_call_ended(int, const Call&) {}         // of this vertical; its outcome stands in it
+  virtual void on_call_ended(int, const Call&) {}  // of this vertical; its outcome stands in it
   virtual void send_peer_reports(const std::vector<PeerReport>&) {}  // where the other routers can be told
 };
 
@@ -33,8 +33,8 @@
  public:
   Queries(const Settings& settings, std::uint64_t seed, double now, TimerQueue& due, QueryActions& actions);
   // With others in the place of the module.
-  Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed, TimerQueue& due,
-          QueryActions& actions);
+  Queries(std::unique_ptr<RoutingPolicy> decisions, const Settings& settings, std::uint64_t seed,
+          TimerQueue& due, QueryActions& actions);
 
   void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, double now, bool told = true) {
     decisions_->update_nodes(hosts, complete, told);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -277,9 +277,9 @@
   if (!same) {
     const Timeline::Budget budget{operators.timeline.memory, operators.timeline.fine,
                                   operators.timeline.lines};
-    recorder_ = std::make_unique<Recorder>(budget, departure_limits(operators, config_.settings),
-                                           operators.departures.on,
-                                           static_cast<int>(config_.verticals.size()), began, unix_time_at_zero());
+    recorder_ = std::make_unique<Recorder>(
+        budget, departure_limits(operators, config_.settings), operators.departures.on,
+        static_cast<int>(config_.verticals.size()), began, unix_time_at_zero());
     queries_.set_observer(recorder_.get());
     versions_at_ = 0;
   }
@@ -566,7 +566,8 @@
   if (phase_ == Phase::draining) q.deadline = std::min(q.deadline, shutdown_.answers_by());
   q.client_retry = ask.client_retry;
   const auto no_room = open_ >= config_.bounds.max_open;
-  if (no_room || standing_.bars(at)) q.forced_rejection = no_room ? Reason::too_many_pending : Reason::router_refusing;
+  if (no_room || standing_.bars(at))
+    q.forced_rejection = no_room ? Reason::too_many_pending : Reason::router_refusing;
   for (const auto& target : ask.targets) q.work_hint += target.work;
   auto& held = held_[number];
   held.client = connection;
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -31,7 +31,10 @@
 
 namespace yoketurn {
 
-class Router : private QueryActions, private Pool::Listener, private Listener::Asker, private Watch::Listener {
+class Router : private QueryActions,
+               private Pool::Listener,
+               private Listener::Asker,
+               private Watch::Listener {
  public:
   // starting: not yet a node to send to. serving. draining: told to stop; goes on answering on the
   // connections it has, then closes them and answers what it holds. stopped: owes nothing.
--- a/src/sites/sites.cpp
+++ b/src/sites/sites.cpp
@@ -46,7 +46,8 @@
   const auto steps = std::ceil(std::log2(1 / kFirstShare)) * kStep;
   if (!cold || s.slow_start_time <= 0 || s.start_capacity >= 1) return steps;
   const auto needed = 1 / std::max(kMargin * s.overload_multiple, 1e-9);
-  return std::max(steps, s.slow_start_time * (std::min(needed, 1.0) - s.start_capacity) / (1 - s.start_capacity));
+  return std::max(steps,
+                  s.slow_start_time * (std::min(needed, 1.0) - s.start_capacity) / (1 - s.start_capacity));
 }
 
 Sites::Sites(const Settings& s, std::uint64_t seed)
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -34,8 +34,8 @@
   return e;
 }
 
-void Recorder::on_decision(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
-                       double now) {
+void Recorder::on_decision(long long query, const Query& q, const Decision& answer,
+                           std::span<const DecisionTraceEntry> judged, double now) {
   const auto of = [&](What what, std::uint32_t line, const Explanation& why, int leaf) {
     auto e = event(what, line, static_cast<std::uint8_t>(why.reason), now);
     e.vertical = static_cast<std::int16_t>(q.vertical);
@@ -48,7 +48,8 @@
   };
   for (const auto& judge : judged) {
     if (judge.node == kNone) {
-      if (judge.explanation.reason == Reason::within_hedge_delay) continue;  // looked at each tenth of a second: no choice
+      if (judge.explanation.reason == Reason::within_hedge_delay)
+        continue;  // looked at each tenth of a second: no choice
       timeline_.record(of(What::waits, kLoop, judge.explanation, judge.leaf));
       continue;
     }
@@ -68,7 +69,8 @@
     e.call = static_cast<std::uint16_t>(q.leaves[static_cast<std::size_t>(send.leaf)].calls.size());
     e.other = kNoLine;
     for (const auto& judge : judged)
-      if (judge.leaf == send.leaf && judge.explanation.reason == Reason::worse_score && judge.explanation.a <= send.explanation.b)
+      if (judge.leaf == send.leaf && judge.explanation.reason == Reason::worse_score &&
+          judge.explanation.a <= send.explanation.b)
         e.other = line_of(judge.node);
     timeline_.record(e);
     if (departs_ && line_of(send.node) != kNoLine) departures_.sent(send.node, q.vertical, now);
@@ -88,7 +90,8 @@
   e.call = static_cast<std::uint16_t>(call);
   e.a = static_cast<float>(now - made.sent_at);
   timeline_.record(e);
-  if (departs_ && e.line != kNoLine) departures_.ended(made.node, q.vertical, made.outcome, made.sent_at, now);
+  if (departs_ && e.line != kNoLine)
+    departures_.ended(made.node, q.vertical, made.outcome, made.sent_at, now);
 }
 
 void Recorder::listed(int number, const std::string& name, const std::string& address, bool up, double born,
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -19,8 +19,8 @@
   Recorder(const Timeline::Budget& budget, const DepartureLimits& limits, bool departures, int verticals,
            double now, double unix_at_zero);
 
-  void on_decision(long long query, const Query& q, const Decision& answer, std::span<const DecisionTraceEntry> judged,
-               double now) override;
+  void on_decision(long long query, const Query& q, const Decision& answer,
+                   std::span<const DecisionTraceEntry> judged, double now) override;
   void on_outcome(long long query, const Query& q, int leaf, int call, double now) override;
 
   // Of a node: its place in the list, where it is, since when; again whenever it is told.
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -133,7 +133,8 @@
       of_node = of_node << 8 | static_cast<unsigned char>((*raw)[i + j]);
     const auto at = marks_.find(of_node);
     if (at != marks_.end())
-      queries_.on_peer_report({at->second, time_of(static_cast<unsigned char>((*raw)[i + kWordBytes - 1]))}, now);
+      queries_.on_peer_report({at->second, time_of(static_cast<unsigned char>((*raw)[i + kWordBytes - 1]))},
+                              now);
   }
 }
 
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -395,11 +395,16 @@
     QueryEnd end;
   };
   const Row rows[] = {
-      {0, Outcome::failure, 0.1, true, QueryEnd::reject},    {1, Outcome::failure, 0.1, true, QueryEnd::abort},
-      {1, Outcome::failure, 1.99, false, QueryEnd::abort},   {1, Outcome::overloaded, 1.99, true, QueryEnd::reject},
-      {2, Outcome::failure, 0.1, false, QueryEnd::abort},    {2, Outcome::disconnected, 0.1, false, QueryEnd::abort},
-      {2, Outcome::timed_out, 0.1, false, QueryEnd::abort},  {2, Outcome::cancelled, 0.1, false, QueryEnd::abort},
-      {2, Outcome::overloaded, 0.1, true, QueryEnd::reject}, {2, Outcome::unreachable, 0.1, true, QueryEnd::reject},
+      {0, Outcome::failure, 0.1, true, QueryEnd::reject},
+      {1, Outcome::failure, 0.1, true, QueryEnd::abort},
+      {1, Outcome::failure, 1.99, false, QueryEnd::abort},
+      {1, Outcome::overloaded, 1.99, true, QueryEnd::reject},
+      {2, Outcome::failure, 0.1, false, QueryEnd::abort},
+      {2, Outcome::disconnected, 0.1, false, QueryEnd::abort},
+      {2, Outcome::timed_out, 0.1, false, QueryEnd::abort},
+      {2, Outcome::cancelled, 0.1, false, QueryEnd::abort},
+      {2, Outcome::overloaded, 0.1, true, QueryEnd::reject},
+      {2, Outcome::unreachable, 0.1, true, QueryEnd::reject},
       {2, Outcome::unsent, 0.1, true, QueryEnd::reject},
   };
   for (const auto& row : rows) {
@@ -642,8 +647,9 @@
   s.verticals[0].late_utility = 0;
   s.verticals[0].min_merge_share = 0.5;
   s.verticals[0].partial_utility = 0.9;
-  for (const auto& row : {Row{1, QueryEnd::none, QueryEnd::reject}, Row{2, QueryEnd::none, QueryEnd::merge_partial},
-                          Row{4, QueryEnd::merge_complete, QueryEnd::merge_complete}}) {
+  for (const auto& row :
+       {Row{1, QueryEnd::none, QueryEnd::reject}, Row{2, QueryEnd::none, QueryEnd::merge_partial},
+        Row{4, QueryEnd::merge_complete, QueryEnd::merge_complete}}) {
     CAPTURE(row.in);
     for (const bool late : {false, true}) {
       Rig rig(s);
@@ -957,8 +963,8 @@
   CHECK(judged(Reason::slow_start).explanation.a + 1 > judged(Reason::slow_start).explanation.b);
 
   rig.pass(3);
-  CHECK(
-      (rig.brain.node_health(2, rig.now) == NodeHealth::suspect || rig.brain.node_health(2, rig.now) == NodeHealth::probing));
+  CHECK((rig.brain.node_health(2, rig.now) == NodeHealth::suspect ||
+         rig.brain.node_health(2, rig.now) == NodeHealth::probing));
   auto hopeless = rig.query(0, 1);
   CHECK(rig.route(hopeless).explanation.reason == Reason::too_few_reachable);
 }
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -61,7 +61,8 @@
         const auto& s = shares[static_cast<std::size_t>(of)];
         const auto born = hosts[static_cast<std::size_t>(node)].started_at;
         if (born <= s.lost_at && s.lost && !s.probe_allowed) continue;
-        if (born <= s.lost_at && !s.lost && std::uniform_real_distribution<>(0, 1)(chance) >= s.share) continue;
+        if (born <= s.lost_at && !s.lost && std::uniform_real_distribution<>(0, 1)(chance) >= s.share)
+          continue;
       }
       send(node);
     }
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -129,7 +129,8 @@
   const auto line = timeline.open("n", "", 0);
   const auto before = timeline.events().end();
   for (int i = 0; i < 40; ++i)
-    timeline.record(event(0.2 + i * 0.001, line, What::passed, static_cast<std::uint8_t>(Reason::worse_score)));
+    timeline.record(
+        event(0.2 + i * 0.001, line, What::passed, static_cast<std::uint8_t>(Reason::worse_score)));
   timeline.record(event(0.5, line, What::passed, static_cast<std::uint8_t>(Reason::suspect)));
   timeline.record(event(1.5, line, What::passed, static_cast<std::uint8_t>(Reason::worse_score)));
   CHECK(timeline.events().end() - before == 3);
