--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -22,7 +22,7 @@
 good-forgotten   @ src/sites/sites.cpp      @ s/site.bad >= kVoices \* \(site.bad \+ good\) && // @ yoketurn_tests @ -ts=sites -tc=*half of which hangs*
 outrun-forgotten @ src/sites/sites.cpp      @ s/node->silent = now - waited;/node->silent = 0;/ @ yoketurn_tests @ -ts=sites -tc=*quicker copy*
 old-silence      @ src/sites/sites.cpp      @ s/if \(node.site == number\) node.silent = 0;/node.silent += 0;/ @ yoketurn_tests @ -ts=sites -tc=*quicker copy*
-list-is-life     @ src/sites/sites.cpp      @ s/if \(lost && host.born > at\(site\).lost_at\)/if (lost)/ @ yoketurn_tests @ -ts=sites -tc=*no sign of life*
+list-is-life     @ src/sites/sites.cpp      @ s/if \(lost && host.started_at > at\(site\).lost_at\)/if (lost)/ @ yoketurn_tests @ -ts=sites -tc=*no sign of life*
 dear-first       @ src/policy/admission.cpp @ s/mean_utility_density \/ std::max\(density, 1e-9\)/std::max(density, 1e-9) \/ mean_utility_density/ @ yoketurn_tests @ -ts=brain -tc=under strain queries are refused*
 no-term          @ src/versions/service.cpp @ s/if \(order.term < last_.term\) return Verdict::lower_term;// @ yoketurn_tests @ -ts=versions
 last-of-site     @ src/audit/overseer.cpp   @ s/in_site - out_of_site <= 1/in_site - out_of_site <= 0/ @ yoketurn_fleet_tests @ -ts=audit -tc=guards: who*
