--- a/src/policy/adaptive_routing_policy.cpp
+++ b/src/policy/adaptive_routing_policy.cpp
@@ -165,13 +165,14 @@
     }
     nodes.any_replica(leaf, [&](int i) {
       auto& node = node_at(i);
-      const auto other = tried(i) != revisit;
-      if (other && revisit) return false;
-      const auto blocked = other ? explain(Reason::already_tried) : why_not_sendable(q, leaf, node, now);
-      const auto of_node =
-          other || blocked.reason == Reason::unavailable || blocked.reason == Reason::slow_start;
-      if (of_node) trace.add(index, i, blocked);
-      if (!of_node && blocked.reason != Reason::none) explanation = blocked;
+      const auto in_other_pass = tried(i) != revisit;
+      if (in_other_pass && revisit) return false;
+      const auto blocked =
+          in_other_pass ? explain(Reason::already_tried) : why_not_sendable(q, leaf, node, now);
+      const auto concerns_node =
+          in_other_pass || blocked.reason == Reason::unavailable || blocked.reason == Reason::slow_start;
+      if (concerns_node) trace.add(index, i, blocked);
+      if (!concerns_node && blocked.reason != Reason::none) explanation = blocked;
       if (blocked.reason != Reason::none) return false;
       const auto site_factor = nodes.site_score_factor(node, leaf.calls.empty() && is_repeatable(q), random);
       if (site_factor <= 0)
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -14,12 +14,13 @@
 constexpr double kSilenceLatencies = 3;
 constexpr std::size_t kMaxPeerParts = 1000;  // pending parts of other routers that are tracked per node
 constexpr double kPeerPartsKeptSeconds = 10;
-// The latency that a peer reports may exceed the time since its report of the send by this factor.
+// The time since a peer's report of a send may exceed the latency that it reports at the end by this factor.
 constexpr double kPeerTimeSlack = 1.1;
 constexpr double kMinProbeIntervalSeconds = 1;
 constexpr double kMaxProbeIntervalSeconds = 16;
 constexpr double kAvoidedScoreFactor = 10;  // on the score of a suspect node outside its probes
-// On the score of a node whose site's share is used up; the score of a site's probe is divided by it.
+// On the score of a node that its site's share leaves out this time. The score of a site's probe is divided
+// by it, so that the probe is sent first.
 constexpr double kReducedSiteScoreFactor = 1e3;
 constexpr double kJoinedCallCost = 0.5;  // of a part that joins an open batch; a call of its own costs 1
 constexpr double kBusyShare = 0.5;       // share of its capacity that a node is assumed to use at its busiest
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -19,7 +19,7 @@
     CAPTURE(row.vertical);
     CAPTURE(row.after);
     Rig rig;
-    for (int i = 0; i < 20; ++i) {  // sends that the cap counts
+    for (int i = 0; i < 20; ++i) {  // sends that the copy budget counts
       auto other = rig.query(0, 1);
       rig.route(other);
       rig.settle(other, 0, Outcome::success);
@@ -27,10 +27,10 @@
     auto q = rig.query(row.vertical, 1);
     REQUIRE(rig.route(q).sends.size() == 1);
     rig.now += row.after;
-    const auto answer = rig.route(q);
-    REQUIRE(static_cast<int>(answer.sends.size()) == row.copies);
+    const auto decision = rig.route(q);
+    REQUIRE(static_cast<int>(decision.sends.size()) == row.copies);
     if (row.copies == 0) continue;
-    CHECK(answer.sends[0].node != q.leaves[0].calls[0].node);
+    CHECK(decision.sends[0].node != q.leaves[0].calls[0].node);
     rig.now += 0.2;
     CHECK(rig.route(q).sends.empty());
     const auto won = rig.settle(q, 0, Outcome::success, 1);
@@ -59,7 +59,7 @@
   CHECK(copies >= 1);
 }
 
-TEST_CASE("cancelled calls count as slow: copying must not pull the hedge delay down") {
+TEST_CASE("cancelled calls count as slow, so that copies do not lower the hedge delay") {
   Rig rig;
   for (int i = 0; i < 100; ++i) {
     auto q = rig.query(0, 1);
@@ -79,7 +79,7 @@
   CHECK(rig.route(q).sends.empty());
 }
 
-TEST_CASE("sends go to the lowest latency times waiting, and a bad node is left alone") {
+TEST_CASE("sends go to the lowest latency times pending calls, and a failing node is avoided") {
   for (const auto bad : {Outcome::failure, Outcome::overloaded, Outcome::unreachable, Outcome::timed_out}) {
     CAPTURE(static_cast<int>(bad));
     Rig rig;
@@ -100,31 +100,31 @@
   }
 }
 
-TEST_CASE("a node that swallows its parts gets no more, though it never failed") {
+TEST_CASE("a node that leaves its parts unanswered is sent no more, though it never failed") {
   Rig rig;
   rig.serve(30, 0.1);
-  std::vector<Query> swallowed;
+  std::vector<Query> unanswered;
   for (int i = 0; i < 60; ++i) {
     auto q = rig.query(2, 1);
     const auto first = rig.route(q).sends.at(0).node;
     rig.pass(0.1);
     if (first == 0)
-      swallowed.push_back(q);
+      unanswered.push_back(q);
     else
       rig.settle(q, 0, Outcome::success);
   }
-  CHECK(swallowed.size() <= 4);
+  CHECK(unanswered.size() <= 4);
 }
 
-TEST_CASE("lost answers do not put the copy off") {
+TEST_CASE("lost answers do not delay copies") {
   Rig rig(settings(), 60);
-  std::vector<Query> swallowed;
-  for (int i = 0; i < 100; ++i) {  // a tenth of the answers never come
+  std::vector<Query> unanswered;
+  for (int i = 0; i < 100; ++i) {  // a tenth of the answers are lost
     auto q = rig.query(0, 1);
     rig.route(q);
     rig.pass(0.1);
     if (i % 10 == 0)
-      swallowed.push_back(q);
+      unanswered.push_back(q);
     else
       rig.settle(q, 0, Outcome::success);
   }
@@ -134,17 +134,17 @@
   CHECK(rig.route(q).sends.size() == 1);
 }
 
-TEST_CASE("a swallowed part given up does not clear its node, an answer does") {
+TEST_CASE("the timeout of an unanswered part leaves its node suspect, an answer does not") {
   for (const bool answered : {false, true}) {
     Rig rig;
     rig.serve(30, 0.1);
     std::vector<Query> queries(3, rig.query(2, 1));
     for (auto& q : queries) rig.route(q);
-    auto& held = queries[0];
-    const auto node = held.leaves[0].calls[0].node;
+    auto& pending = queries[0];
+    const auto node = pending.leaves[0].calls[0].node;
     for (std::size_t i = 1; i < queries.size(); ++i) rig.settle(queries[i], 0, Outcome::success);
-    rig.pass(0.5);  // now it is suspect
-    rig.settle(held, 0, answered ? Outcome::success : Outcome::timed_out);
+    rig.pass(0.5);  // the node becomes suspect
+    rig.settle(pending, 0, answered ? Outcome::success : Outcome::timed_out);
     rig.pass(0.2);
     auto q = rig.query(0, 12);
     rig.route(q);
@@ -154,7 +154,7 @@
   }
 }
 
-TEST_CASE("a part that is lost at a silent node is given up and sent again, once the copies are used up") {
+TEST_CASE("a part lost at a silent node is cancelled and sent again, once the copy budget is spent") {
   for (const int vertical : {0, 2}) {
     Rig rig;
     rig.serve(30, 0.1, vertical);
@@ -168,26 +168,26 @@
     std::size_t sends = 0;
     for (int i = 0; i < 7; ++i) {
       rig.pass(0.1);
-      const auto answer = rig.route(q);
-      cancels += answer.cancels.size();
-      sends += answer.sends.size();
-      for (const auto& send : answer.sends) rig.settle(q, send.leaf, Outcome::success);
+      const auto decision = rig.route(q);
+      cancels += decision.cancels.size();
+      sends += decision.sends.size();
+      for (const auto& send : decision.sends) rig.settle(q, send.leaf, Outcome::success);
     }
     CHECK((cancels > 0) == (vertical == 0));
     CHECK((sends > 1) == (vertical == 0));
   }
 }
 
-TEST_CASE("a part that later ones have overtaken tells of a lost answer, not of its node") {
+TEST_CASE("an overtaken part counts as a lost answer, not against its node") {
   for (const bool lost : {false, true}) {
     Rig rig;
     rig.serve(60, 0.1, 1);
-    auto held = rig.query(1, 3);
-    rig.route(held);
-    const auto node = held.leaves[0].calls[0].node;
+    auto pending = rig.query(1, 3);
+    rig.route(pending);
+    const auto node = pending.leaves[0].calls[0].node;
     std::size_t again = 0;
     int sent = 0;
-    for (int i = 0; i < 8; ++i) {  // the others answer all the while, this one but for the lost answer
+    for (int i = 0; i < 8; ++i) {  // the other nodes answer; this one too, except for the lost answer
       auto q = rig.query(1, 6);
       rig.route(q);
       rig.pass(0.1);
@@ -196,21 +196,22 @@
         sent += here;
         if (lost || !here) rig.settle(q, j, Outcome::success);
       }
-      again += rig.route(held).sends.size();
+      again += rig.route(pending).sends.size();
       for (int j = 1; j < 3; ++j)
-        if (i == 0) rig.settle(held, j, Outcome::success);
+        if (i == 0) rig.settle(pending, j, Outcome::success);
     }
     CHECK((sent > 12) == lost);
-    CHECK(again >= 1);  // in both cases it is sent again
+    CHECK(again >= 1);  // it is sent again in both cases
   }
 }
 
-TEST_CASE("a lost part goes where it takes less than it has waited, though the others have parts waiting") {
+TEST_CASE(
+    "a lost part is sent where it takes less than it has waited, though the other nodes have pending parts") {
   Rig rig;
   rig.serve(60, 0.1, 1);
-  auto held = rig.query(1, 1, 30);
-  rig.route(held);
-  const auto silent = held.leaves[0].calls[0].node;
+  auto pending = rig.query(1, 1, 30);
+  rig.route(pending);
+  const auto silent = pending.leaves[0].calls[0].node;
   rig.pass(1);
   std::vector<Query> busy;
   for (int i = 0; i < 6; ++i) {
@@ -218,10 +219,10 @@
     rig.route(busy.back());
   }
   for (int i = 0; i < 6; ++i) CHECK(busy[static_cast<std::size_t>(i)].leaves[0].calls.at(0).node != silent);
-  CHECK(rig.route(held).sends.size() == 1);
+  CHECK(rig.route(pending).sends.size() == 1);
 }
 
-TEST_CASE("a slow way is told from slow nodes and remembered while it is avoided") {
+TEST_CASE("a slow network path is distinguished from slow nodes and remembered while it is avoided") {
   for (const double late : {0.0, 0.9}) {
     auto s = settings();
     for (auto& vertical : s.verticals) vertical.slo_time = 5;
@@ -238,7 +239,7 @@
       REQUIRE(rig.route(queries[zone]).sends.size() == 12);
     }
     for (auto& host : rig.hosts) host.up = zone_of(host.node) == 1 || host.node < 30;
-    rig.brain.update_nodes(rig.hosts, true);  // near nodes are few now
+    rig.brain.update_nodes(rig.hosts, true);  // few nodes in the own zone
     for (const int zone : {0, 1}) {
       rig.pass(zone == 1 ? late : 0.1);
       for (int i = 0; i < 12; ++i) rig.settle(queries[zone], i, Outcome::success);
@@ -247,15 +248,16 @@
       rig.pass(silence);
       auto q = rig.query(0, 24, 10);
       rig.route(q);
-      const auto far = std::count_if(q.leaves.begin(), q.leaves.end(),
-                                     [&](const Leaf& leaf) { return zone_of(leaf.calls.at(0).node) == 1; });
-      CHECK((far > 0) == (late == 0));
+      const auto to_other_zone = std::count_if(q.leaves.begin(), q.leaves.end(), [&](const Leaf& leaf) {
+        return zone_of(leaf.calls.at(0).node) == 1;
+      });
+      CHECK((to_other_zone > 0) == (late == 0));
       for (int i = 0; i < 24; ++i) rig.settle(q, i, Outcome::success);
     }
   }
 }
 
-TEST_CASE("what hurried clients leave is no strain for the patient") {
+TEST_CASE("short client deadlines do not raise the load estimate for other clients") {
   Rig rig(settings(), 60);
   for (int i = 0; i < 60; ++i) {
     auto q = rig.query(0, 1, 0.3);
@@ -272,22 +274,21 @@
   CHECK(refused == 0);
 }
 
-TEST_CASE(
-    "with all replicas under suspicion new queries are refused and failed parts wait until a trial is due") {
+TEST_CASE("with all replicas suspect new queries are refused and failed parts wait until a probe is due") {
   Rig rig;
   rig.serve(30, 0.1);
-  auto held = rig.query(0, 1, 20);
-  rig.route(held);
+  auto pending = rig.query(0, 1, 20);
+  rig.route(pending);
   for (int i = 0; i < 5; ++i) {
     auto q = rig.query(0, 6);
     rig.route(q);
     for (std::size_t j = 0; j < q.leaves.size(); ++j)
       if (!q.leaves[j].calls.empty()) rig.settle(q, static_cast<int>(j), Outcome::overloaded);
   }
-  rig.settle(held, 0, Outcome::overloaded);
+  rig.settle(pending, 0, Outcome::overloaded);
   for (const bool due : {false, true}) {
     if (due) rig.pass(3);
-    CHECK(rig.route(held).sends.size() == (due ? 1 : 0));
+    CHECK(rig.route(pending).sends.size() == (due ? 1 : 0));
     auto q = rig.query(2, 1);
     CHECK(rig.route(q).sends.size() == (due ? 1 : 0));
     CHECK(q.ended == !due);
@@ -310,7 +311,7 @@
   }
 }
 
-TEST_CASE("what ends with one connection is one bad outcome of its node") {
+TEST_CASE("calls that end with one connection count as one failure of its node") {
   for (const auto outcome : {Outcome::malformed, Outcome::disconnected, Outcome::failure}) {
     Rig rig;
     rig.hosts[1].up = rig.hosts[2].up = false;
@@ -320,22 +321,23 @@
     rig.route(q);
     for (int i = 0; i < 4; ++i) rig.settle(q, i, outcome);
     auto next = rig.query(0, 1);
-    CHECK(rig.route(next).sends.size() == (outcome == Outcome::failure ? 0 : 1));  // else it is out of reach
+    CHECK(rig.route(next).sends.size() ==
+          (outcome == Outcome::failure ? 0 : 1));  // else no node is reachable
   }
 }
 
-TEST_CASE("spoilt answers leave a sound node in use, one that spoils all it answers is left out") {
+TEST_CASE("occasional malformed answers leave a node in use, a node with only malformed answers is avoided") {
   for (const bool all : {false, true}) {
     Rig rig;
     rig.serve(30, 0.1);
     int sent = 0;
     for (int i = 0; i < 60; ++i) {
       auto q = rig.query(1, 8);
-      bool spoilt = all || i % 3 == 0;  // then all that is out at the node ends at once
+      bool malformed = all || i % 3 == 0;  // then all calls pending at the node end at once
       for (const auto& send : rig.route(q).sends)
         if (send.node == 0) {
           ++sent;
-          if (spoilt) rig.settle(q, send.leaf, Outcome::malformed);
+          if (malformed) rig.settle(q, send.leaf, Outcome::malformed);
         }
       rig.pass(0.1);
       for (std::size_t j = 0; j < q.leaves.size(); ++j)
@@ -347,11 +349,11 @@
   }
 }
 
-TEST_CASE("a suspect node is tried again rarely") {
+TEST_CASE("a suspect node is probed rarely") {
   Rig rig;
   rig.serve(30, 0.1);
   int tries = 0;
-  for (int i = 0; i < 100; ++i) {  // 10 s with 8 parts out at a time
+  for (int i = 0; i < 100; ++i) {  // 10 s with 8 pending parts at a time
     auto q = rig.query(0, 8);
     for (const auto& send : rig.route(q).sends) {
       if (send.node != 0) continue;
@@ -386,7 +388,7 @@
   }
 }
 
-TEST_CASE("rule 2: what may have run is not repeated beyond its vertical") {
+TEST_CASE("rule 2: a part that may have run is not repeated beyond what its vertical allows") {
   struct Row {
     int vertical;
     Outcome outcome;
@@ -415,20 +417,19 @@
     rig.route(q);
     rig.now += row.after;
     rig.settle(q, 0, row.outcome);
-    const auto answer = rig.route(q);
-    CHECK(answer.sends.size() == (row.resent ? 1 : 0));
+    const auto decision = rig.route(q);
+    CHECK(decision.sends.size() == (row.resent ? 1 : 0));
     for (int i = 0; i < 5 && !q.ended; ++i) {
       rig.settle(q, 0, row.outcome);
       rig.route(q);
     }
     if (!q.ended) rig.now = q.deadline;
-    const auto end = q.ended ? answer.query_end : rig.route(q).query_end;
+    const auto end = q.ended ? decision.query_end : rig.route(q).query_end;
     if (end != QueryEnd::none) CHECK(end == row.end);
   }
 }
 
-TEST_CASE(
-    "rule 2: a deduplicated part that goes again may leave until its window is over, others at any time") {
+TEST_CASE("rule 2: a resent deduplicated part may leave until the end of its window, others at any time") {
   for (const auto& [vertical, outcome, bounded] :
        {std::tuple{0, Outcome::failure, false}, std::tuple{1, Outcome::failure, true},
         std::tuple{1, Outcome::overloaded, false}, std::tuple{2, Outcome::overloaded, false}}) {
@@ -443,7 +444,7 @@
     const auto again = rig.route(q);
     REQUIRE(again.sends.size() == 1);
     if (bounded) {
-      // Of 2 s; a router may be held up after it has looked at its clock.
+      // Of 2 s; a router may stall after reading its clock.
       CHECK(again.sends[0].max_send_delay < 1.5 - kMaxSendStallSeconds);
       CHECK(again.sends[0].max_send_delay > 1.4 - kMaxSendStallSeconds);
     } else {
@@ -452,7 +453,7 @@
   }
 }
 
-TEST_CASE("a part that fails at once goes again to the only node there is after 50 ms, not within a few") {
+TEST_CASE("a part that fails at once is sent again to the only node after 50 ms, not within a few") {
   Rig rig(settings(), 1);
   rig.serve(400, 0.002);  // the hedge delay is a few ms then
   auto q = rig.query(0, 1);
@@ -465,11 +466,10 @@
   CHECK(rig.route(q).sends.size() == 1);
 }
 
-TEST_CASE(
-    "calls that never left this router spend neither the attempts of a part nor the budget of further ones") {
+TEST_CASE("unsent calls count neither as attempts of a part nor against the retry budget") {
   auto s = settings();
   s.max_calls = 2;
-  s.retry_budget_window = 2;  // a budget of no further call at all
+  s.retry_budget_window = 2;  // the budget allows no further call
   Rig rig(s, 3);
   auto q = rig.query(0, 1);
   for (int unsent = 0; unsent < 3; ++unsent) {
@@ -478,13 +478,13 @@
     rig.now += 0.3;
   }
   REQUIRE(rig.route(q).sends.size() == 1);
-  rig.settle(q, 0, Outcome::failure);  // this one has left: the budget allows no other
+  rig.settle(q, 0, Outcome::failure);  // this one was sent: the budget allows no other
   rig.now += 0.3;
-  const auto answer = rig.route(q);
-  CHECK(answer.sends.empty());
+  const auto decision = rig.route(q);
+  CHECK(decision.sends.empty());
 }
 
-TEST_CASE("of a node that is gone nothing is believed of the next one under its number") {
+TEST_CASE("the state of a removed node does not carry over to the next node with its number") {
   Rig rig;
   rig.serve(30, 0.1);
   for (int i = 0; i < 3; ++i) {
@@ -498,9 +498,9 @@
   rig.hosts[1].up = rig.hosts[2].up = true;
   rig.brain.update_nodes(rig.hosts, true);
   rig.brain.remove_node(0);
-  const DiscoveredNode nowhere{900, 0, 77, true, 0};  // a cell that is not there
-  rig.brain.update_nodes({&nowhere, 1}, false);
-  rig.brain.remove_node(nowhere.node);
+  const DiscoveredNode out_of_range{900, 0, 77, true, 0};  // no such cell
+  rig.brain.update_nodes({&out_of_range, 1}, false);
+  rig.brain.remove_node(out_of_range.node);
   rig.pass(0.1);
   CHECK(rig.serve(6, 0.1)[0] == 0);
   rig.hosts[0].up = true;
@@ -513,14 +513,14 @@
 TEST_CASE("rule 3: a draining or missing node gets nothing") {
   for (const bool complete : {false, true}) {
     Rig rig;
-    std::vector<DiscoveredNode> news{{0, 0, 0, false, 0}};
-    if (complete) news = {rig.hosts[1], rig.hosts[2]};
-    rig.brain.update_nodes(news, complete);
+    std::vector<DiscoveredNode> update{{0, 0, 0, false, 0}};
+    if (complete) update = {rig.hosts[1], rig.hosts[2]};
+    rig.brain.update_nodes(update, complete);
     CHECK(rig.serve(30, 0.05)[0] == 0);
   }
 }
 
-TEST_CASE("rule 4: a cold node gets this router's share of what it can bear") {
+TEST_CASE("rule 4: a node in slow start gets this router's share of its capacity") {
   Rig rig;
   rig.serve(100, 0.05);  // 20 a second, 6.7 a node
   rig.hosts[0].started_at = rig.now;
@@ -530,7 +530,7 @@
   CHECK(rig.serve(200, 0.05)[0] > 30);
 }
 
-TEST_CASE("rule 4: many routers that know little space their parts to a cold node out") {
+TEST_CASE("rule 4: many routers with little traffic space out their parts to a node in slow start") {
   for (const int routers : {1, 40}) {
     auto s = settings();
     s.router_count = routers;
@@ -549,20 +549,21 @@
   }
 }
 
-TEST_CASE("rule 4: a cold node's share is not less for what routers refused before it started") {
+TEST_CASE("rule 4: refusals before a node's start do not lower its limit in slow start") {
   Rig rig;
   rig.serve(200, 0.05);
-  rig.pass(12);  // nothing is asked: nothing is answered
+  rig.pass(12);  // no queries, so no answers
   rig.hosts[0].started_at = rig.now;
   rig.brain.update_nodes(rig.hosts, true);
   auto q = rig.query(0, 60);
-  int cold = 0;
-  for (const auto& send : rig.route(q).sends) cold += send.node == 0;
-  CHECK(cold > 1);
-  CHECK(cold < 12);
+  int sent_to_new_node = 0;
+  for (const auto& send : rig.route(q).sends) sent_to_new_node += send.node == 0;
+  CHECK(sent_to_new_node > 1);
+  CHECK(sent_to_new_node < 12);
 }
 
-TEST_CASE("rule 4: the neighbouring parts of a query can meet at a cold node where they are spaced out") {
+TEST_CASE(
+    "rule 4: neighbouring parts of a query may go to one node in slow start where parts are spaced out") {
   auto s = settings();
   s.router_count = 40;
   s.slow_start_time = 1000;
@@ -578,9 +579,9 @@
   CHECK(sends <= 4);
 }
 
-TEST_CASE("a node that is unheard of counts as what calls cost, failures too") {
+TEST_CASE("a node without samples is assumed to have the mean cost of calls, failures included") {
   Rig rig;
-  for (int i = 0; i < 12; ++i) {  // node 2 is not there; what goes to node 0 fails
+  for (int i = 0; i < 12; ++i) {  // only calls at node 1 succeed
     auto q = rig.query(0, 1);
     const auto sends = rig.route(q).sends;
     rig.pass(0.05);
@@ -592,7 +593,7 @@
   CHECK(rig.serve(3, 0.05)[3] == 0);
 }
 
-TEST_CASE("what other routers have waiting at a node counts, until they tell of its end") {
+TEST_CASE("parts that other routers have pending at a node count until their end is reported") {
   auto s = settings();
   s.may_send_peer_reports = true;
   s.router_count = 2;
@@ -608,17 +609,17 @@
   for (int i = 0; i < 5; ++i) rig.brain.on_peer_report({0, 0.05}, rig.now);
   CHECK(rig.serve(30, 0.05)[0] > 0);
   rig.brain.on_peer_report({77, 0.05}, rig.now);  // a node that is not listed
-  // A new process has nothing waiting that the old one had.
+  // Parts pending at the old process are not pending at the new one.
   for (int i = 0; i < 5000; ++i) rig.brain.on_peer_report({0, 0}, rig.now);
   rig.hosts[0].started_at = rig.now - 11;
   rig.brain.update_nodes(rig.hosts, false);
-  auto fresh = rig.query(0, 9);
+  auto new_query = rig.query(0, 9);
   int there = 0;
-  for (const auto& send : rig.route(fresh).sends) there += send.node == 0;
+  for (const auto& send : rig.route(new_query).sends) there += send.node == 0;
   CHECK(there > 0);
 }
 
-TEST_CASE("a node that others find slow gets less, and nothing told clears a suspicion") {
+TEST_CASE("a node that other routers report as slow gets less, and no report ends a suspect state") {
   auto s = settings();
   s.may_send_peer_reports = true;
   s.router_count = 2;
@@ -638,10 +639,10 @@
   CHECK(rig.brain.node_health(1, rig.now) == NodeHealth::suspect);
 }
 
-TEST_CASE("rule 5: merged whole only if whole, in part only from the least share") {
+TEST_CASE("rule 5: merged as complete only if complete, as partial only from the minimum share on") {
   struct Row {
     int in;
-    QueryEnd before, after;  // the SLO time
+    QueryEnd before, after;  // before and after the SLO time
   };
   auto s = settings();
   s.verticals[0].late_utility = 0;
@@ -662,14 +663,14 @@
   }
 }
 
-TEST_CASE("a second step is whole only after a whole first one") {
+TEST_CASE("a second step is complete only after a complete first one") {
   auto s = settings();
   s.verticals[0].second_step_parts = 1;
-  for (const bool first_whole : {false, true}) {
+  for (const bool first_complete : {false, true}) {
     Rig rig(s);
     auto q = rig.query(0, 1);
     q.step = 2;
-    q.first_step_complete = first_whole;
+    q.first_step_complete = first_complete;
     q.leaves[0].answered = true;
     q.parts_expected = 1;
     CHECK(rig.route(q).query_end == QueryEnd::none);
@@ -677,18 +678,18 @@
     q.parts_expected = 0;
     CHECK(rig.route(q).sends.size() == 1);
     rig.settle(q, 1, Outcome::success);
-    CHECK(rig.route(q).query_end == (first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial));
+    CHECK(rig.route(q).query_end == (first_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial));
   }
 }
 
-TEST_CASE("rule 6: further leaf calls stay within the budget of the span") {
+TEST_CASE("rule 6: further leaf calls stay within the retry budget of the window") {
   auto s = settings();
   s.retry_budget_window = 10;
   s.retry_budget_min = 2;
   s.retry_budget_ratio = 0.1;
-  Rig rig(s, 60);  // so that none becomes suspect
+  Rig rig(s, 60);  // so many that none becomes suspect
   int extra = 0;
-  for (int i = 0; i < 20; ++i) {  // takes 40 queries and parts: 2 + 4 further calls
+  for (int i = 0; i < 20; ++i) {  // 40 queries and parts received: 2 + 4 further calls
     auto q = rig.query(0, 1);
     rig.route(q);
     rig.settle(q, 0, Outcome::failure);
@@ -707,11 +708,11 @@
   s.max_parts_per_call = 4;
   Rig rig(s);
   auto q = rig.query(0, 9);
-  const auto answer = rig.route(q);
-  REQUIRE(answer.sends.size() == 9);
+  const auto decision = rig.route(q);
+  REQUIRE(decision.sends.size() == 9);
   int together = 0;
-  for (const auto& a : answer.sends)
-    for (const auto& b : answer.sends) {
+  for (const auto& a : decision.sends)
+    for (const auto& b : decision.sends) {
       CHECK((a.batch == b.batch) <= (a.node == b.node));
       together += &a != &b && a.batch == b.batch;
     }
@@ -732,16 +733,16 @@
   int refused[2] = {0, 0};
   for (int i = 0; i < 400; ++i) {
     auto q = rig.query(i % 2, 1);
-    const auto answer = rig.route(q);
-    refused[i % 2] += answer.query_end == QueryEnd::reject;
-    CHECK((answer.query_end == QueryEnd::reject) == answer.sends.empty());
+    const auto decision = rig.route(q);
+    refused[i % 2] += decision.query_end == QueryEnd::reject;
+    CHECK((decision.query_end == QueryEnd::reject) == decision.sends.empty());
     if (!q.ended) rig.settle(q, 0, Outcome::cancelled);
   }
   CHECK(refused[0] > 20);
   CHECK(refused[1] < refused[0]);
 }
 
-TEST_CASE("queries with hardly a chance in the time their client leaves are refused without strain") {
+TEST_CASE("queries unlikely to be answered in their client's time are refused at any load") {
   for (const double time : {0.3, 2.0}) {
     CAPTURE(time);
     Rig rig(settings(), 12);
@@ -762,7 +763,7 @@
   }
 }
 
-TEST_CASE("parts turned away by full nodes are strain, though they come back at once") {
+TEST_CASE("refusals by full nodes count as load, though they come at once") {
   for (const auto outcome : {Outcome::success, Outcome::overloaded}) {
     Rig rig;
     int refused = 0;
@@ -780,30 +781,31 @@
   }
 }
 
-TEST_CASE("a router that stood still takes neither its pause for latency nor old queries for new ones") {
-  for (const bool stood : {false, true}) {
-    CAPTURE(stood);
+TEST_CASE(
+    "a router that stood_still still takes neither its pause for latency nor old queries for new ones") {
+  for (const bool stood_still : {false, true}) {
+    CAPTURE(stood_still);
     Rig rig(settings(), 60);
     rig.serve(60, 0.1);
     std::vector<Query> queries(20, rig.query(0, 1));
     for (auto& q : queries) REQUIRE(rig.route(q).sends.size() == 1);
-    if (stood)
+    if (stood_still)
       rig.now += 0.9;
     else
       rig.pass(0.9);
     for (auto& q : queries) rig.settle(q, 0, Outcome::success);
-    auto old = rig.query(0, 1, 3.2);  // its client had left it 4 s
+    auto old = rig.query(0, 1, 3.2);  // other queries have 4 s
     rig.route(old);
-    CHECK((rig.now - old.received_at > 0.7) == stood);
+    CHECK((rig.now - old.received_at > 0.7) == stood_still);
     rig.pass(0.1);
     auto q = rig.query(0, 1);
     rig.route(q);
     rig.now += 0.3;
-    CHECK(rig.route(q).sends.size() == (stood ? 1 : 0));  // the hedge delay has not grown
+    CHECK(rig.route(q).sends.size() == (stood_still ? 1 : 0));  // the hedge delay has not grown
   }
 }
 
-TEST_CASE("a burst is refused before the answers can tell of it") {
+TEST_CASE("a burst is refused before answers show its load") {
   for (const int burst : {2, 100}) {
     CAPTURE(burst);
     Rig rig(settings(), 12);
@@ -823,70 +825,70 @@
   }
 }
 
-TEST_CASE("the more parts a query has, the fewer slow ones count as strain") {
+TEST_CASE("the more parts a query has, the fewer slow parts count as overload") {
   for (const int parts : {5, 60}) {
     CAPTURE(parts);
     Rig rig;
     int refused = 0;
     for (int i = 0; i < 40; ++i) {
       auto q = rig.query(0, parts);
-      const auto answer = rig.route(q);
-      refused += answer.query_end == QueryEnd::reject;
+      const auto decision = rig.route(q);
+      refused += decision.query_end == QueryEnd::reject;
       rig.pass(0.05);
-      for (const auto& send : answer.sends)
+      for (const auto& send : decision.sends)
         if (send.leaf % 5 != 0) rig.settle(q, send.leaf, Outcome::success, 0);
       rig.pass(0.75);
-      for (const auto& send : answer.sends)
+      for (const auto& send : decision.sends)
         if (send.leaf % 5 == 0) rig.settle(q, send.leaf, Outcome::success, 0);
     }
     CHECK((parts > 16 ? refused > 5 : refused == 0));
   }
 }
 
-TEST_CASE("queries are refused earlier where a client can be told when to come back") {
-  for (const double stay_away : {0.0, 0.5}) {
+TEST_CASE("queries are refused earlier where clients can be asked to retry later") {
+  for (const double retry_after : {0.0, 0.5}) {
     auto s = settings();
-    s.max_retry_after = stay_away;
+    s.max_retry_after = retry_after;
     Rig rig(s);
     int refused = 0;
     for (int i = 0; i < 60; ++i) {
       auto q = rig.query(0, 9);
-      const auto answer = rig.route(q);
-      refused += answer.query_end == QueryEnd::reject;
-      if (answer.query_end == QueryEnd::reject) CHECK(answer.retry_after == stay_away);
+      const auto decision = rig.route(q);
+      refused += decision.query_end == QueryEnd::reject;
+      if (decision.query_end == QueryEnd::reject) CHECK(decision.retry_after == retry_after);
       rig.pass(0.59);
-      for (const auto& send : answer.sends) rig.settle(q, send.leaf, Outcome::success, 0);
+      for (const auto& send : decision.sends) rig.settle(q, send.leaf, Outcome::success, 0);
     }
-    CHECK((stay_away > 0 ? refused > 4 : refused == 0));
+    CHECK((retry_after > 0 ? refused > 4 : refused == 0));
   }
 }
 
-TEST_CASE("where the list must be asked for it is asked until it comes") {
+TEST_CASE("the node list is requested until it arrives") {
   auto s = settings();
   s.must_request_node_list = true;
-  AdaptiveRoutingPolicy brain(s, 1, 100);
-  brain.update_nodes(Rig(s).hosts, true, false);  // known last: nothing that discovery said
-  CHECK(brain.tick(100.1));
-  CHECK(!brain.tick(100.2));
-  brain.on_node_list_failed(100.3);
-  CHECK(!brain.tick(100.4));
-  brain.tick(103.3);  // the round after a standstill only takes note of it
-  CHECK(brain.tick(103.4));
-  brain.update_nodes(Rig(s).hosts, false);
-  brain.tick(120);
-  CHECK(!brain.tick(120.1));
+  AdaptiveRoutingPolicy policy(s, 1, 100);
+  policy.update_nodes(Rig(s).hosts, true, false);  // the list kept from before the start
+  CHECK(policy.tick(100.1));
+  CHECK(!policy.tick(100.2));
+  policy.on_node_list_failed(100.3);
+  CHECK(!policy.tick(100.4));
+  policy.tick(103.3);  // the first round after a standstill only detects it
+  CHECK(policy.tick(103.4));
+  policy.update_nodes(Rig(s).hosts, false);
+  policy.tick(120);
+  CHECK(!policy.tick(120.1));
 }
 
-TEST_CASE("routers that were turned away together do not ask again together") {
+TEST_CASE("routers whose list requests failed together do not retry together") {
   auto s = settings();
   s.must_request_node_list = true;
   std::set<int> rounds;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    AdaptiveRoutingPolicy brain(s, seed, 100);
-    brain.tick(100.1);
-    brain.on_node_list_failed(100.2);
+    AdaptiveRoutingPolicy policy(s, seed, 100);
+    policy.tick(100.1);
+    policy.on_node_list_failed(100.2);
     auto now = 100.2;
-    while (!brain.tick(now) && now < 110) now += 0.1;
+    while (!policy.tick(now) && now < 110) now += 0.1;
     CHECK(now > 101);
     CHECK(now < 104);
     rounds.insert(static_cast<int>(now * 10));
@@ -898,28 +900,28 @@
   Rig a, b;
   CHECK(a.serve(200, 0.03) == b.serve(200, 0.03));
 }
-TEST_CASE("each choice says why") {
+TEST_CASE("each decision has its reason") {
   Rig rig;
   rig.brain.enable_trace(true);
-  const auto judged = [&](Reason reason) {
+  const auto traced = [&](Reason reason) {
     for (const auto& j : rig.brain.trace())
       if (j.explanation.reason == reason) return j;
     return DecisionTraceEntry{kNone, kNone, kNone, {}};
   };
   auto first = rig.query(0, 1);
-  auto answer = rig.route(first);
-  REQUIRE(answer.sends.size() == 1);
-  CHECK(answer.sends[0].explanation.reason == Reason::first_call);
-  CHECK(answer.sends[0].explanation.a <= answer.sends[0].explanation.b);
-  CHECK(answer.sends[0].explanation.c == doctest::Approx(0.25));
-  const auto dearer = judged(Reason::worse_score);
-  CHECK(dearer.chosen_node == answer.sends[0].node);
-  CHECK(dearer.node != dearer.chosen_node);
-  CHECK(dearer.explanation.a >= dearer.explanation.b);
+  auto decision = rig.route(first);
+  REQUIRE(decision.sends.size() == 1);
+  CHECK(decision.sends[0].explanation.reason == Reason::first_call);
+  CHECK(decision.sends[0].explanation.a <= decision.sends[0].explanation.b);
+  CHECK(decision.sends[0].explanation.c == doctest::Approx(0.25));
+  const auto worse = traced(Reason::worse_score);
+  CHECK(worse.chosen_node == decision.sends[0].node);
+  CHECK(worse.node != worse.chosen_node);
+  CHECK(worse.explanation.a >= worse.explanation.b);
 
   rig.route(first);
-  CHECK(judged(Reason::within_hedge_delay).node == kNone);
-  CHECK(judged(Reason::within_hedge_delay).leaf == 0);
+  CHECK(traced(Reason::within_hedge_delay).node == kNone);
+  CHECK(traced(Reason::within_hedge_delay).leaf == 0);
 
   rig.pass(0.05);
   CHECK(rig.settle(first, 0, Outcome::success).cancels.empty());
@@ -929,14 +931,14 @@
   auto late = rig.query(0, 1);
   const auto slow = rig.route(late).sends[0].node;
   rig.pass(0.2);
-  answer = rig.route(late);
-  REQUIRE(answer.sends.size() == 1);
-  CHECK(answer.sends[0].explanation.reason == Reason::copy);
-  CHECK(judged(Reason::already_tried).node == slow);
-  answer = rig.settle(late, 0, Outcome::success);
-  REQUIRE(answer.cancels.size() == 1);
-  CHECK(answer.cancels[0].explanation.reason == Reason::race_lost);
-  CHECK(answer.cancels[0].explanation.a == doctest::Approx(0.2));
+  decision = rig.route(late);
+  REQUIRE(decision.sends.size() == 1);
+  CHECK(decision.sends[0].explanation.reason == Reason::copy);
+  CHECK(traced(Reason::already_tried).node == slow);
+  decision = rig.settle(late, 0, Outcome::success);
+  REQUIRE(decision.cancels.size() == 1);
+  CHECK(decision.cancels[0].explanation.reason == Reason::race_lost);
+  CHECK(decision.cancels[0].explanation.a == doctest::Approx(0.2));
   rig.settle(late, 0, Outcome::cancelled, 0);
 
   auto failed = rig.query(2, 1);
@@ -954,22 +956,22 @@
   CHECK(rig.brain.node_health(1, rig.now) == NodeHealth::slow_start);
   CHECK(rig.brain.node_health(2, rig.now) == NodeHealth::healthy);
   rig.pass(0.01);
-  for (int i = 0; i < 8 && judged(Reason::slow_start).leaf == kNone; ++i) {
+  for (int i = 0; i < 8 && traced(Reason::slow_start).leaf == kNone; ++i) {
     auto more = rig.query(0, 1);
     rig.route(more);
   }
-  CHECK(judged(Reason::unavailable).node == 0);
-  CHECK(judged(Reason::slow_start).node == 1);
-  CHECK(judged(Reason::slow_start).explanation.a + 1 > judged(Reason::slow_start).explanation.b);
+  CHECK(traced(Reason::unavailable).node == 0);
+  CHECK(traced(Reason::slow_start).node == 1);
+  CHECK(traced(Reason::slow_start).explanation.a + 1 > traced(Reason::slow_start).explanation.b);
 
   rig.pass(3);
   CHECK((rig.brain.node_health(2, rig.now) == NodeHealth::suspect ||
          rig.brain.node_health(2, rig.now) == NodeHealth::probing));
-  auto hopeless = rig.query(0, 1);
-  CHECK(rig.route(hopeless).explanation.reason == Reason::too_few_reachable);
+  auto unreachable = rig.query(0, 1);
+  CHECK(rig.route(unreachable).explanation.reason == Reason::too_few_reachable);
 }
 
-TEST_CASE("choices past the bound are counted, not kept") {
+TEST_CASE("trace entries past the maximum are counted and dropped") {
   auto s = settings();
   s.cell_count = s.cells_per_shard = 1;
   Rig rig(s, 700);
@@ -980,15 +982,15 @@
   CHECK(rig.brain.dropped_trace_entries() == 699 - static_cast<long long>(kMaxTraceEntries));
 }
 
-TEST_CASE("a module that explains decides as one that does not") {
-  Rig plain, told;
-  told.brain.enable_trace(true);
-  CHECK(plain.serve(200, 0.03) == told.serve(200, 0.03));
+TEST_CASE("tracing does not change decisions") {
+  Rig plain, traced_rig;
+  traced_rig.brain.enable_trace(true);
+  CHECK(plain.serve(200, 0.03) == traced_rig.serve(200, 0.03));
 }
 
 // Six nodes, each holding every shard: three in site 0, three in site 1.
-struct Sites : Rig {
-  Sites() : Rig(six(), 6) {
+struct TwoSites : Rig {
+  TwoSites() : Rig(six(), 6) {
     for (auto& host : hosts) host.zone = host.node / 3;
     brain.update_nodes(hosts, true);
     serve(300, 0.02);
@@ -996,109 +998,109 @@
   static Settings six() {
     auto s = settings();
     s.cell_count = s.cells_per_shard = 6;
-    s.zone = kNone;  // neither is nearer
+    s.zone = kNone;  // neither zone is the router's own
     return s;
   }
-  void site_1(const SiteShare& what) {
+  void set_site_1(const SiteShare& what) {
     const SiteShare both[] = {{}, what};
     brain.set_site_shares(both);
   }
-  int far(int many, int vertical = 0) {
-    const auto sent = serve(many, 0.02, vertical);
+  int sends_to_site_1(int count, int vertical = 0) {
+    const auto sent = serve(count, 0.02, vertical);
     return sent[3] + sent[4] + sent[5];
   }
 };
 
-TEST_CASE("nothing goes to a lost site but one trial, and that is a part that may go again") {
-  Sites town;
-  CHECK(town.far(60) > 10);
-  town.site_1({true, false, 0, town.now});
-  CHECK(town.far(60) == 0);
-  town.site_1({true, true, 0, town.now});
-  CHECK(town.far(20, 2) == 0);
-  CHECK(town.far(20, 1) == 0);
-  CHECK(town.far(20) == 1);
-  CHECK(town.far(20) == 0);  // until there is word that another is due
+TEST_CASE("nothing is sent to a lost site but one probe, and that is a repeatable part") {
+  TwoSites cluster;
+  CHECK(cluster.sends_to_site_1(60) > 10);
+  cluster.set_site_1({true, false, 0, cluster.now});
+  CHECK(cluster.sends_to_site_1(60) == 0);
+  cluster.set_site_1({true, true, 0, cluster.now});
+  CHECK(cluster.sends_to_site_1(20, 2) == 0);
+  CHECK(cluster.sends_to_site_1(20, 1) == 0);
+  CHECK(cluster.sends_to_site_1(20) == 1);
+  CHECK(cluster.sends_to_site_1(20) == 0);  // until another probe is allowed
 }
 
-TEST_CASE("a returning site gets its share, and a tranche held there alone goes there all the same") {
-  Sites town;
-  const auto usual = town.far(200);
-  town.site_1({false, false, 0.25, town.now});
-  const auto quarter = town.far(200);
+TEST_CASE("a returning site gets its share, and parts whose shard only it holds go there all the same") {
+  TwoSites cluster;
+  const auto full_share = cluster.sends_to_site_1(200);
+  cluster.set_site_1({false, false, 0.25, cluster.now});
+  const auto quarter = cluster.sends_to_site_1(200);
   CHECK(quarter > 5);
-  CHECK(quarter < usual * 2 / 3);
-  for (auto& host : town.hosts) host.up = host.zone == 1;
-  town.brain.update_nodes(town.hosts, true);
-  CHECK(town.far(20) == 20);
-  town.brain.set_site_shares({});
-  for (auto& host : town.hosts) host.up = true;
-  town.brain.update_nodes(town.hosts, true);
-  CHECK(town.far(200) > quarter);
+  CHECK(quarter < full_share * 2 / 3);
+  for (auto& host : cluster.hosts) host.up = host.zone == 1;
+  cluster.brain.update_nodes(cluster.hosts, true);
+  CHECK(cluster.sends_to_site_1(20) == 20);
+  cluster.brain.set_site_shares({});
+  for (auto& host : cluster.hosts) host.up = true;
+  cluster.brain.update_nodes(cluster.hosts, true);
+  CHECK(cluster.sends_to_site_1(200) > quarter);
 }
 
-TEST_CASE("what nobody is left to serve is rejected at once, with a time to come back") {
-  Sites town;
-  for (auto& host : town.hosts) host.up = host.zone == 1;
-  town.brain.update_nodes(town.hosts, true);
-  town.site_1({true, false, 0, town.now});
-  auto q = town.query(0, 1);
-  const auto answer = town.route(q);
-  CHECK(answer.query_end == QueryEnd::reject);
-  CHECK(answer.explanation.reason == Reason::too_few_reachable);
-  CHECK(answer.retry_after > 0);
-  // A process that began since the loss is not judged by it.
-  for (auto& host : town.hosts) host.started_at = town.now + 1;
-  town.pass(1.5);
-  town.brain.update_nodes(town.hosts, true);
-  auto again = town.query(0, 1);
-  CHECK(town.route(again).sends.size() == 1);
+TEST_CASE("a query without reachable nodes is rejected at once, with a retry time") {
+  TwoSites cluster;
+  for (auto& host : cluster.hosts) host.up = host.zone == 1;
+  cluster.brain.update_nodes(cluster.hosts, true);
+  cluster.set_site_1({true, false, 0, cluster.now});
+  auto q = cluster.query(0, 1);
+  const auto decision = cluster.route(q);
+  CHECK(decision.query_end == QueryEnd::reject);
+  CHECK(decision.explanation.reason == Reason::too_few_reachable);
+  CHECK(decision.retry_after > 0);
+  // A process that started after the loss is not affected by it.
+  for (auto& host : cluster.hosts) host.started_at = cluster.now + 1;
+  cluster.pass(1.5);
+  cluster.brain.update_nodes(cluster.hosts, true);
+  auto again = cluster.query(0, 1);
+  CHECK(cluster.route(again).sends.size() == 1);
 }
 
-TEST_CASE("what was out at a site when it was lost goes elsewhere at once, where it may go twice") {
+TEST_CASE("parts pending at a site when it is lost are sent elsewhere at once, if they may run twice") {
   for (const auto vertical : {0, 1, 2}) {
     CAPTURE(vertical);
-    Sites town;
-    for (auto& host : town.hosts) host.up = host.zone == 1;
-    town.brain.update_nodes(town.hosts, true);
-    auto q = town.query(vertical, 1);
-    REQUIRE(town.route(q).sends.size() == 1);
-    for (auto& host : town.hosts) host.up = true;
-    town.brain.update_nodes(town.hosts, true);
-    CHECK(town.route(q).sends.empty());
-    town.site_1({true, false, 0, town.now});
-    const auto answer = town.route(q);
-    REQUIRE(answer.sends.size() == (vertical == 2 ? 0 : 1));
+    TwoSites cluster;
+    for (auto& host : cluster.hosts) host.up = host.zone == 1;
+    cluster.brain.update_nodes(cluster.hosts, true);
+    auto q = cluster.query(vertical, 1);
+    REQUIRE(cluster.route(q).sends.size() == 1);
+    for (auto& host : cluster.hosts) host.up = true;
+    cluster.brain.update_nodes(cluster.hosts, true);
+    CHECK(cluster.route(q).sends.empty());
+    cluster.set_site_1({true, false, 0, cluster.now});
+    const auto decision = cluster.route(q);
+    REQUIRE(decision.sends.size() == (vertical == 2 ? 0 : 1));
     if (vertical == 2) continue;  // rule 2: it may have run
-    CHECK(answer.cancels.size() == 1);
-    CHECK(answer.sends[0].node < 3);
+    CHECK(decision.cancels.size() == 1);
+    CHECK(decision.sends[0].node < 3);
   }
 }
 
-TEST_CASE("nodes whose site is back are not held suspect for what its loss made of them") {
-  Sites town;
-  for (auto& host : town.hosts) host.up = host.zone == 1;
-  town.brain.update_nodes(town.hosts, true);
+TEST_CASE("nodes of a returned site are not suspect for their failures during its loss") {
+  TwoSites cluster;
+  for (auto& host : cluster.hosts) host.up = host.zone == 1;
+  cluster.brain.update_nodes(cluster.hosts, true);
   for (int i = 0; i < 30; ++i) {
-    auto q = town.query(0, 6);
-    town.route(q);
+    auto q = cluster.query(0, 6);
+    cluster.route(q);
     for (int leaf = 0; leaf < 6; ++leaf) {
       auto& calls = q.leaves[static_cast<std::size_t>(leaf)].calls;
       if (!calls.empty())
-        town.settle(q, leaf, calls.back().node >= 3 ? Outcome::unreachable : Outcome::success);
+        cluster.settle(q, leaf, calls.back().node >= 3 ? Outcome::unreachable : Outcome::success);
     }
-    town.pass(0.05);
+    cluster.pass(0.05);
   }
-  REQUIRE(town.brain.node_health(4, town.now) == NodeHealth::suspect);
-  town.site_1({true, false, 0, town.now});
-  town.pass(1);
-  town.site_1({false, false, 0.25, town.now});
-  for (const int node : {3, 4, 5}) CHECK(town.brain.node_health(node, town.now) == NodeHealth::unknown);
+  REQUIRE(cluster.brain.node_health(4, cluster.now) == NodeHealth::suspect);
+  cluster.set_site_1({true, false, 0, cluster.now});
+  cluster.pass(1);
+  cluster.set_site_1({false, false, 0.25, cluster.now});
+  for (const int node : {3, 4, 5}) CHECK(cluster.brain.node_health(node, cluster.now) == NodeHealth::unknown);
 }
 
-TEST_CASE("no site is judged where nothing is believed, on the same random numbers") {
-  Sites plain, told;
-  const SiteShare sound[] = {{}, {}};
-  told.brain.set_site_shares(sound);
-  CHECK(plain.serve(200, 0.03) == told.serve(200, 0.03));
+TEST_CASE("sites without limits change no decision and consume no random numbers") {
+  TwoSites plain, traced_rig;
+  const SiteShare no_limits[] = {{}, {}};
+  traced_rig.brain.set_site_shares(no_limits);
+  CHECK(plain.serve(200, 0.03) == traced_rig.serve(200, 0.03));
 }
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-// Queries with what they want done written down.
-struct Desk : QueryActions {
-  explicit Desk(const Settings& s = settings()) : queries(s, 7, now, due, *this) {
-    std::vector<DiscoveredNode> hosts;
-    for (int i = 0; i < 3; ++i) hosts.push_back({i, 0, i, true, 0});
-    queries.update_nodes(hosts, true, now);
+// Queries with three nodes, which logs the actions that they ask for.
+struct QueriesFixture : QueryActions {
+  explicit QueriesFixture(const Settings& s = settings()) : queries(s, 7, now, timers, *this) {
+    std::vector<DiscoveredNode> nodes;
+    for (int i = 0; i < 3; ++i) nodes.push_back({i, 0, i, true, 0});
+    queries.update_nodes(nodes, true, now);
   }
 
-  void take(int vertical, int parts, long long number = 1) {
+  void add_query_with_parts(int vertical, int parts, long long number = 1) {
     Query q;
     q.vertical = vertical;
     q.deadline = now + 4;
@@ -28,17 +28,17 @@
     for (int i = 0; i < parts; ++i) queries.add_part(number, {i, 1.0 / parts, 0, 1, false, {}}, now);
     queries.process_changes(now);
   }
-  // Other queries, so that a tenth of the parts sent is enough for a copy.
-  void serve(int many) {
-    for (int i = 2; i < 2 + many; ++i) {
-      take(1, 1, i);
+  // Answers other queries, so that the share of copies allows one.
+  void answer_queries(int count) {
+    for (int i = 2; i < 2 + count; ++i) {
+      add_query_with_parts(1, 1, i);
       queries.on_outcome(i, 0, 0, Outcome::success, 0, now);
       queries.process_changes(now);
     }
     sends.clear();
-    said.clear();
+    actions_log.clear();
   }
-  void pass(double seconds) {
+  void advance(double seconds) {
     for (const auto end = now + seconds; now < end - 1e-9;) {
       now = std::min(end, now + queries.tick_interval());
       queries.tick(now);
@@ -48,100 +48,102 @@
 
   void send(long long, const Send& send, int call) override { sends.push_back({send.leaf, call}); }
   void cancel(long long, const Cancel& cancel) override { cancels.push_back({cancel.leaf, cancel.call}); }
-  void merge(long long, bool whole) override { said += whole ? "whole " : "part "; }
-  void reject(long long, double, const Explanation&) override { said += "reject "; }
-  void abort(long long, const Explanation&) override { said += "abort "; }
-  void release(long long) override { said += "forget "; }
+  void merge(long long, bool complete) override { actions_log += complete ? "complete " : "partial "; }
+  void reject(long long, double, const Explanation&) override { actions_log += "reject "; }
+  void abort(long long, const Explanation&) override { actions_log += "abort "; }
+  void release(long long) override { actions_log += "release "; }
 
   double now = 1000;
-  TimerQueue due;
+  TimerQueue timers;
   Queries queries;
   std::vector<std::pair<int, int>> sends, cancels;
-  std::string said;
+  std::string actions_log;
 };
 
 }  // namespace
 
 TEST_SUITE_BEGIN("queries");
 
-TEST_CASE("due times come in order, each once, and can be dropped or moved") {
-  TimerQueue due;
-  std::string ran;
-  const auto note = [&](const char* what) { return [&ran, what](double) { ran += what; }; };
-  due.schedule(3, 2, note("c"));
-  due.schedule(1, 2, note("b"));
-  due.schedule(2, 1, note("a"));
-  due.schedule(4, 1, note("x"));
-  due.cancel(4);
-  due.schedule(5, 1, note("d"));
-  due.schedule(5, 3, note("d"));
-  due.run_due(2.5);
-  CHECK(ran == "abc");
-  CHECK(due.next_due() == 3);
-  due.run_due(9);
-  due.run_due(9);
-  CHECK(ran == "abcd");
+TEST_CASE("timers run in order, each once, and can be cancelled or rescheduled") {
+  TimerQueue timers;
+  std::string run_order;
+  const auto append = [&](const char* action) {
+    return [&run_order, action](double) { run_order += action; };
+  };
+  timers.schedule(3, 2, append("c"));
+  timers.schedule(1, 2, append("b"));
+  timers.schedule(2, 1, append("a"));
+  timers.schedule(4, 1, append("x"));
+  timers.cancel(4);
+  timers.schedule(5, 1, append("d"));
+  timers.schedule(5, 3, append("d"));
+  timers.run_due(2.5);
+  CHECK(run_order == "abc");
+  CHECK(timers.next_due() == 3);
+  timers.run_due(9);
+  timers.run_due(9);
+  CHECK(run_order == "abcd");
 }
 
-TEST_CASE("a second step goes to the shards whose answers that counted score highest") {
+TEST_CASE("a second step goes to the shards whose used answers have the highest scores") {
   auto s = settings();
   s.verticals[0].second_step_parts = 2;
-  Desk desk(s);
-  desk.serve(20);
-  desk.take(0, 3);
-  desk.queries.on_outcome(1, 0, 0, Outcome::success, 5, desk.now);
-  desk.queries.on_outcome(1, 1, 0, Outcome::success, 9, desk.now);
-  desk.pass(1);  // the last part is copied, and the copy loses
-  REQUIRE(desk.sends.size() == 4);
-  desk.queries.on_outcome(1, 2, 0, Outcome::success, 8, desk.now);
-  CHECK(desk.cancels == std::vector<std::pair<int, int>>{{2, 1}});
-  desk.queries.on_outcome(1, 2, 1, Outcome::cancelled, 0, desk.now);
-  desk.queries.process_changes(desk.now);
-  CHECK(desk.said == "whole ");
-  REQUIRE(desk.queries.awaits_parts(1));
-  CHECK(desk.queries.second_step_leaves(1) == std::vector<int>{1, 2});
+  QueriesFixture fixture(s);
+  fixture.answer_queries(20);
+  fixture.add_query_with_parts(0, 3);
+  fixture.queries.on_outcome(1, 0, 0, Outcome::success, 5, fixture.now);
+  fixture.queries.on_outcome(1, 1, 0, Outcome::success, 9, fixture.now);
+  fixture.advance(1);  // the last part is copied, and the copy loses
+  REQUIRE(fixture.sends.size() == 4);
+  fixture.queries.on_outcome(1, 2, 0, Outcome::success, 8, fixture.now);
+  CHECK(fixture.cancels == std::vector<std::pair<int, int>>{{2, 1}});
+  fixture.queries.on_outcome(1, 2, 1, Outcome::cancelled, 0, fixture.now);
+  fixture.queries.process_changes(fixture.now);
+  CHECK(fixture.actions_log == "complete ");
+  REQUIRE(fixture.queries.awaits_parts(1));
+  CHECK(fixture.queries.second_step_leaves(1) == std::vector<int>{1, 2});
   for (const int shard : {1, 2})
-    CHECK(desk.queries.add_part(1, {shard, 0.5, 0, 2, false, {}}, desk.now) >= 3);
-  desk.queries.process_changes(desk.now);
-  CHECK(!desk.queries.awaits_parts(1));
-  for (const int leaf : {3, 4}) desk.queries.on_outcome(1, leaf, 0, Outcome::success, 1, desk.now);
-  desk.queries.process_changes(desk.now);
-  CHECK(desk.said == "whole whole forget ");
+    CHECK(fixture.queries.add_part(1, {shard, 0.5, 0, 2, false, {}}, fixture.now) >= 3);
+  fixture.queries.process_changes(fixture.now);
+  CHECK(!fixture.queries.awaits_parts(1));
+  for (const int leaf : {3, 4}) fixture.queries.on_outcome(1, leaf, 0, Outcome::success, 1, fixture.now);
+  fixture.queries.process_changes(fixture.now);
+  CHECK(fixture.actions_log == "complete complete release ");
 }
 
 TEST_CASE("an outcome counts once, and a query is kept until each of its calls has one") {
-  Desk desk;
-  desk.take(0, 1);
-  desk.queries.abandon(1);
-  desk.queries.process_changes(desk.now);
-  CHECK(desk.said.empty());
-  desk.queries.on_outcome(1, 0, 7, Outcome::success, 0, desk.now);  // no such call
-  desk.queries.process_changes(desk.now);
-  CHECK(desk.queries.contains(1));
-  for (int i = 0; i < 2; ++i) desk.queries.on_outcome(1, 0, 0, Outcome::success, 0, desk.now);
-  desk.queries.process_changes(desk.now);
-  CHECK(desk.said == "forget ");
-  CHECK(!desk.queries.contains(1));
+  QueriesFixture fixture;
+  fixture.add_query_with_parts(0, 1);
+  fixture.queries.abandon(1);
+  fixture.queries.process_changes(fixture.now);
+  CHECK(fixture.actions_log.empty());
+  fixture.queries.on_outcome(1, 0, 7, Outcome::success, 0, fixture.now);  // no such call
+  fixture.queries.process_changes(fixture.now);
+  CHECK(fixture.queries.contains(1));
+  for (int i = 0; i < 2; ++i) fixture.queries.on_outcome(1, 0, 0, Outcome::success, 0, fixture.now);
+  fixture.queries.process_changes(fixture.now);
+  CHECK(fixture.actions_log == "release ");
+  CHECK(!fixture.queries.contains(1));
 }
 
-TEST_CASE("a query that there is no room for is rejected by the module, whatever its effect") {
+TEST_CASE("a query with a forced rejection is rejected whatever its effect") {
   for (const int vertical : {0, 1, 2}) {
-    Desk desk;
+    QueriesFixture fixture;
     Query q;
     q.vertical = vertical;
-    q.deadline = desk.now + 4;
+    q.deadline = fixture.now + 4;
     q.forced_rejection = Reason::too_many_pending;
-    desk.queries.add_query(1, q, desk.now);
-    desk.queries.add_part(1, {0, 1, 0, 1, false, {}}, desk.now);
-    desk.queries.process_changes(desk.now);
-    CHECK(desk.said == "reject forget ");
-    CHECK(desk.sends.empty());
+    fixture.queries.add_query(1, q, fixture.now);
+    fixture.queries.add_part(1, {0, 1, 0, 1, false, {}}, fixture.now);
+    fixture.queries.process_changes(fixture.now);
+    CHECK(fixture.actions_log == "reject release ");
+    CHECK(fixture.sends.empty());
   }
 }
 
-// The same events through the bench's text and straight to the queries, with what each wants done in one
-// form.
-TEST_CASE("the wire and the sockets' side decide alike") {
+// Feeds the same events to a router instance in the text protocol of src/wire and directly to Queries, and
+// compares the actions, written in the same form.
+TEST_CASE("the wire protocol and direct calls lead to the same decisions") {
   const std::string setup =
       "balancers=2 bounds.cancel=true bounds.max_attempts=3 bounds.may_duplicate=true "
       "bounds.retry_after=true "
@@ -156,94 +158,97 @@
       "zone=a "
       "zones=a,b";
   constexpr int kFailures = 3;
-  const char* failures[kFailures] = {"failure", "overloaded", "broken"};
+  const char* failure_words[kFailures] = {"failure", "overloaded", "broken"};
   const char* verticals[] = {"look", "change", "book"};
   struct Recorder : QueryActions {
     void send(long long query, const Send& send, int call) override {
-      said += fmt::format("place {} {} {}\n", query * 10 + send.leaf, wire::micros(send.timeout), send.node);
-      out.push_back({query, send.leaf, send.node, call});
+      actions_log +=
+          fmt::format("place {} {} {}\n", query * 10 + send.leaf, wire::micros(send.timeout), send.node);
+      pending_calls.push_back({query, send.leaf, send.node, call});
     }
     void cancel(long long query, const Cancel& cancel) override {
-      said += fmt::format("withdraw {} {}\n", query * 10 + cancel.leaf, cancel.call);
+      actions_log += fmt::format("withdraw {} {}\n", query * 10 + cancel.leaf, cancel.call);
     }
-    void merge(long long query, bool whole) override {
-      said += fmt::format("answer {} {:d}\n", query * 10 + 9, whole);
+    void merge(long long query, bool complete) override {
+      actions_log += fmt::format("answer {} {:d}\n", query * 10 + 9, complete);
     }
-    void reject(long long query, double away, const Explanation&) override {
-      said += fmt::format("reject {} {}\n", query * 10 + 9, wire::micros(away));
+    void reject(long long query, double retry_after, const Explanation&) override {
+      actions_log += fmt::format("reject {} {}\n", query * 10 + 9, wire::micros(retry_after));
     }
     void abort(long long query, const Explanation&) override {
-      said += fmt::format("respond_error {}\n", query * 10 + 9);
+      actions_log += fmt::format("respond_error {}\n", query * 10 + 9);
     }
     void release(long long) override {}
-    struct Out {
+    struct PendingCall {
       long long query;
       int leaf, node, call;
     };
-    std::string said;
-    std::vector<Out> out;
+    std::string actions_log;
+    std::vector<PendingCall> pending_calls;
   };
 
   Recorder recorder;
-  TimerQueue due;
-  Queries queries(settings(pairs(setup)), 77, 1, due, recorder);
-  const DiscoveredNode hosts[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
-  queries.update_nodes(hosts, true, 1);
-  std::string text = "frame 1000000 1\nopen_instance router-0 77 " + setup +
-                     "\ninventory 0 3\nnode 0 a k 0 U 1 -\nnode 1 a k 1 U 1 -\nnode 2 b k 2 U 1 -\n"
-                     "membership router-0 warm_copy 0 1\ngo\n";
+  TimerQueue timers;
+  Queries queries(settings(pairs(setup)), 77, 1, timers, recorder);
+  const DiscoveredNode nodes[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
+  queries.update_nodes(nodes, true, 1);
+  std::string wire_input = "frame 1000000 1\nopen_instance router-0 77 " + setup +
+                           "\ninventory 0 3\nnode 0 a k 0 U 1 -\nnode 1 a k 1 U 1 -\nnode 2 b k 2 U 1 -\n"
+                           "membership router-0 warm_copy 0 1\ngo\n";
   queries.process_changes(1);
-  for (int turn = 1; turn <= 1200; ++turn) {
-    const long long clock = 1000000 + 25000LL * turn;
-    const auto at = static_cast<double>(clock) / 1e6;
-    text += fmt::format("frame {} {}\n", clock, turn + 1);
-    if (turn % 4 == 0) {
-      text += "reminder router-0 tick\n";
+  for (int round = 1; round <= 1200; ++round) {
+    const long long clock_us = 1000000 + 25000LL * round;
+    const auto at = static_cast<double>(clock_us) / 1e6;
+    wire_input += fmt::format("frame {} {}\n", clock_us, round + 1);
+    if (round % 4 == 0) {
+      wire_input += "reminder router-0 tick\n";
       queries.tick(at);
     }
-    if (turn % 3 == 0) {
-      const auto vertical = turn / 3 % 3;
-      const int parts = 1 + turn % 4;
+    if (round % 3 == 0) {
+      const auto vertical = round / 3 % 3;
+      const int parts = 1 + round % 4;
       Query q;
       q.vertical = vertical;
-      q.deadline = static_cast<double>(clock + 1500000) / 1e6;
-      queries.add_query(turn, q, at);
-      text += fmt::format("demand router-0 {} {} - - {} - {} -1 {} 0\n", turn * 10 + 9, verticals[vertical],
-                          clock + 1500000, turn, parts);
+      q.deadline = static_cast<double>(clock_us + 1500000) / 1e6;
+      queries.add_query(round, q, at);
+      wire_input += fmt::format("demand router-0 {} {} - - {} - {} -1 {} 0\n", round * 10 + 9,
+                                verticals[vertical], clock_us + 1500000, round, parts);
       for (int i = 0; i < parts; ++i) {
-        queries.add_part(turn, {i, 1.0 / parts, 0, 1, false, {}}, at);
-        text += fmt::format("demand router-0 {} {} - - {} - {} {} {} 0\n", turn * 10 + i, verticals[vertical],
-                            clock + 1500000, turn, i, 1.0 / parts);
+        queries.add_part(round, {i, 1.0 / parts, 0, 1, false, {}}, at);
+        wire_input += fmt::format("demand router-0 {} {} - - {} - {} {} {} 0\n", round * 10 + i,
+                                  verticals[vertical], clock_us + 1500000, round, i, 1.0 / parts);
       }
     }
-    // Every second turn all calls are answered, but for those at the node whose turn it is to swallow them.
-    for (const auto& call : turn % 2 == 0 ? std::exchange(recorder.out, {}) : std::vector<Recorder::Out>{}) {
-      const auto verdict = turn % 130 == 0 ? failures[turn / 130 % kFailures] : "success";
-      if (call.node == turn / 40 % 4) continue;
-      text += fmt::format("response router-0 {} {} {} {} 1 1 -\n", call.query * 10 + call.leaf, call.call,
-                          call.node, verdict);
-      queries.on_outcome(call.query, call.leaf, call.call, wire::outcome(verdict), 0, at);
+    // In every second round all calls are answered, except those at a node that answers nothing for 40
+    // rounds.
+    for (const auto& call :
+         round % 2 == 0 ? std::exchange(recorder.pending_calls, {}) : std::vector<Recorder::PendingCall>{}) {
+      const auto outcome_word = round % 130 == 0 ? failure_words[round / 130 % kFailures] : "success";
+      if (call.node == round / 40 % 4) continue;
+      wire_input += fmt::format("response router-0 {} {} {} {} 1 1 -\n", call.query * 10 + call.leaf,
+                                call.call, call.node, outcome_word);
+      queries.on_outcome(call.query, call.leaf, call.call, wire::outcome(outcome_word), 0, at);
     }
-    if (turn % 50 == 0) {
-      text += fmt::format("gone router-0 {}\n", (turn - turn % 3) * 10 + 9);
-      queries.abandon(turn - turn % 3);
+    if (round % 50 == 0) {
+      wire_input += fmt::format("gone router-0 {}\n", (round - round % 3) * 10 + 9);
+      queries.abandon(round - round % 3);
     }
-    text += "reminder router-0 due\ngo\n";
+    wire_input += "reminder router-0 due\ngo\n";
     queries.process_changes(at);
   }
-  std::istringstream in(text);
-  std::ostringstream out, log;
-  wire::Host().run(in, out, log);
-  std::string said, line;
-  for (std::istringstream lines(out.str()); std::getline(lines, line);) {
+  std::istringstream in(wire_input);
+  std::ostringstream output, log;
+  wire::Host().run(in, output, log);
+  std::string actions_log, line;
+  for (std::istringstream lines(output.str()); std::getline(lines, line);) {
     if (line.starts_with("end ") || line.starts_with("notify_me ")) continue;
     const auto name = line.find(" router-0");
-    said += line.erase(name, std::string(" router-0").size()) + "\n";
+    actions_log += line.erase(name, std::string(" router-0").size()) + "\n";
   }
   CHECK(log.str().empty());
-  for (const std::string what : {"place ", "withdraw ", "answer ", "reject ", "respond_error "}) {
-    CAPTURE(what);
-    CHECK(said.find(what) != std::string::npos);
+  for (const std::string action : {"place ", "withdraw ", "answer ", "reject ", "respond_error "}) {
+    CAPTURE(action);
+    CHECK(actions_log.find(action) != std::string::npos);
   }
-  CHECK(said == recorder.said);
+  CHECK(actions_log == recorder.actions_log);
 }
--- a/tests/relative_work_test.cpp
+++ b/tests/relative_work_test.cpp
@@ -1,4 +1,4 @@
-// The estimate of how much work a sub-request of each class is.
+// Tests of the estimate of how much work a part of each vertical is.
 #include "policy/relative_work.hpp"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 
 constexpr int kLight = 0, kHeavy = 1;
 
-// So many sub-requests of each class, one a millisecond.
+// Sends this many parts of each vertical, one per millisecond.
 void send(RelativeWork& work, int light, int heavy) {
   double now = 0;
   for (int i = 0; i < light; ++i) work.record_sent(kLight, now += 1e-3);
@@ -31,7 +31,7 @@
   CHECK(0.95 * work.estimate(kLight) + 0.05 * work.estimate(kHeavy) == doctest::Approx(1).epsilon(0.01));
 }
 
-TEST_CASE("relative work: hints go before what answers took") {
+TEST_CASE("relative work: hints take precedence over latencies") {
   RelativeWork work({1, 1});
   send(work, 50, 50);
   work.record_quick_latency(kHeavy, 1);
@@ -40,17 +40,17 @@
   CHECK(work.estimate(kHeavy) == doctest::Approx(3 * work.estimate(kLight)));
 }
 
-TEST_CASE("relative work: a class that is not known yet goes by its aim, and is no lighter than the mean") {
-  for (const double aim : {0.1, 20.0}) {
-    CAPTURE(aim);
-    RelativeWork work({1, aim});
+TEST_CASE("relative work: a vertical without samples goes by its SLO time, and is no lighter than the mean") {
+  for (const double slo_time : {0.1, 20.0}) {
+    CAPTURE(slo_time);
+    RelativeWork work({1, slo_time});
     send(work, 95, 5);
     work.record_quick_latency(kLight, 0.01);
-    CHECK(work.estimate(kHeavy) == doctest::Approx(aim > 1 ? aim : 1));
+    CHECK(work.estimate(kHeavy) == doctest::Approx(slo_time > 1 ? slo_time : 1));
   }
 }
 
-TEST_CASE("relative work: the mix that was sent long ago is forgotten") {
+TEST_CASE("relative work: old counts of parts sent decay") {
   RelativeWork work({1, 1});
   work.record_quick_latency(kLight, 0.01);
   work.record_quick_latency(kHeavy, 0.1);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// What a node in slow start may be sent, by work.
+// How much work a node in slow start may be sent.
 #include <doctest/doctest.h>
 
 #include "policy/nodes.hpp"
@@ -11,86 +11,88 @@
 
 constexpr double kStarted = 1000;
 
-// A node that has just started, of which so many parts of mean work are allowed to all routers in a window.
-struct Started {
-  Started(int routers, double allowed) : cold(settings_for(routers)) {
-    node.recent_work = WindowCounter(cold.overload_time);
+// A node that has just started. allowed: parts of mean work that all routers together may send it in a
+// window.
+struct StartedNode {
+  StartedNode(int routers, double allowed) : slow_start(settings_for(routers)) {
+    node.recent_work = WindowCounter(slow_start.overload_time);
     node.started_at = kStarted;
-    cold.node_answer_rate =
-        allowed / cold.start_capacity / cold.overload_ratio / cold.overload_time / routers;
+    slow_start.node_answer_rate =
+        allowed / slow_start.start_capacity / slow_start.overload_ratio / slow_start.overload_time / routers;
   }
   static Settings settings_for(int routers) {
     auto s = test::settings();
     s.router_count = routers;
-    s.slow_start_time = 1e6;  // so that it stays as cold as it is
+    s.slow_start_time = 1e6;  // so that its capacity doesn't grow during the test
     return s;
   }
-  // How many parts of this work it is sent where many wait for it from `from` on.
-  int takes(double work, double from, double until) {
+  // How many parts of this work may be sent between the two times, if there are always more.
+  int parts_accepted(double work, double from, double until) {
     int sent = 0;
     for (auto now = from; now < until; now += 0.002) {
-      if (!cold.allows(node, work, now, chance)) continue;
-      cold.record_sent(node, work, now);
+      if (!slow_start.allows(node, work, now, random)) continue;
+      slow_start.record_sent(node, work, now);
       ++sent;
     }
     return sent;
   }
 
-  SlowStart cold;
+  SlowStart slow_start;
   Node node;
-  std::ranlux24_base chance{7};
+  std::ranlux24_base random{7};
 };
 
 }  // namespace
 
 TEST_SUITE_BEGIN("brain");
 
-TEST_CASE("slow start: as many parts as their work leaves room for") {
-  Started started(1, 100);
-  const auto of_mean_work = started.takes(1, kStarted, kStarted + 0.99);
+TEST_CASE("slow start: the number of parts is limited by their work") {
+  StartedNode started_node(1, 100);
+  const auto of_mean_work = started_node.parts_accepted(1, kStarted, kStarted + 0.99);
   CHECK(of_mean_work > 80);
   CHECK(of_mean_work < 100);
-  CHECK(started.takes(0.5, kStarted + 2, kStarted + 2.99) >= 2 * of_mean_work);
-  // Few parts of high work vary more in sum: less of the room can be used.
-  const auto heavy = started.takes(8, kStarted + 4, kStarted + 4.99);
+  CHECK(started_node.parts_accepted(0.5, kStarted + 2, kStarted + 2.99) >= 2 * of_mean_work);
+  // The sum of few heavy parts varies more, so less of the limit can be used.
+  const auto heavy = started_node.parts_accepted(8, kStarted + 4, kStarted + 4.99);
   CHECK(heavy >= 1);
   CHECK(8 * heavy < of_mean_work);
 }
 
-TEST_CASE("slow start: many routers that send heavy parts stay under what makes a node fall, nearly always") {
+TEST_CASE("slow start: many routers that send heavy parts independently do not overload a node") {
   constexpr int kRouters = 900, kWindows = 20;
-  constexpr double kAllowed = 100, kFalls = kAllowed + 2 * 10 + 2;
+  constexpr double kAllowed = 100, kOverloadWork = kAllowed + 2 * 10 + 2;
   for (const double work : {1.0, 8.0, 30.0, 100.0}) {
     CAPTURE(work);
-    std::vector<Started> routers(kRouters, Started(kRouters, kAllowed));
+    std::vector<StartedNode> routers(kRouters, StartedNode(kRouters, kAllowed));
     for (int i = 0; i < kRouters; ++i)
-      routers[static_cast<std::size_t>(i)].chance.seed(static_cast<unsigned>(i));
-    // Together they have a fifth more parts of this work for it than it may get of mean work, at any moments.
-    std::ranlux24_base chance(20);
+      routers[static_cast<std::size_t>(i)].random.seed(static_cast<unsigned>(i));
+    // Together the routers have 20 % more parts of this work for the node than it may get of mean work, at
+    // random times.
+    std::ranlux24_base random(20);
     std::uniform_real_distribution<> moment(0, kWindows);
     std::uniform_int_distribution<std::size_t> any_router(0, kRouters - 1);
     std::vector<std::pair<double, std::size_t>> wishes;
     for (int n = 0; n < 1.2 * kAllowed * kWindows; ++n)
-      wishes.emplace_back(kStarted + moment(chance), any_router(chance));
+      wishes.emplace_back(kStarted + moment(random), any_router(random));
     std::sort(wishes.begin(), wishes.end());
     WindowCounter arrived(1);
-    double most = 0;
+    double max_work = 0;
     for (const auto& [now, i] : wishes) {
       auto& router = routers[i];
-      if (!router.cold.allows(router.node, work, now, router.chance)) continue;
-      router.cold.record_sent(router.node, work, now);
+      if (!router.slow_start.allows(router.node, work, now, router.random)) continue;
+      router.slow_start.record_sent(router.node, work, now);
       arrived.add(now, work);
-      most = std::max(most, arrived.recent(now));
+      max_work = std::max(max_work, arrived.recent(now));
     }
-    CHECK(most <= kFalls);
+    CHECK(max_work <= kOverloadWork);
   }
 }
 
-TEST_CASE("slow start: a part that alone would make it fall is not sent there") {
-  Started started(3, 10);
-  CHECK(started.cold.token_cost(started.node, 19, kStarted) == kNever);
-  CHECK(started.takes(19, kStarted, kStarted + 100) == 0);
-  CHECK(started.takes(1, kStarted + 101, kStarted + 102) > 0);
+TEST_CASE("slow start: a part that alone would overload the node is not sent there") {
+  StartedNode started_node(3, 10);
+  CHECK(started_node.slow_start.token_cost(started_node.node, 19, kStarted) == kNever);
+  CHECK(started_node.parts_accepted(19, kStarted, kStarted + 100) == 0);
+  CHECK(started_node.parts_accepted(1, kStarted + 101, kStarted + 102) > 0);
 }
 
 TEST_SUITE_END();
