--- a/src/datanodes/frames.hpp
+++ b/src/datanodes/frames.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <string_view>
 
-#include "routing_policy.hpp"
 #include "buffers/ring.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn {
 
--- a/src/departures/departures.hpp
+++ b/src/departures/departures.hpp
@@ -7,8 +7,8 @@
 #include <span>
 #include <vector>
 
-#include "routing_policy.hpp"
 #include "departures/detectors.hpp"
+#include "routing_policy.hpp"
 #include "timeline/event.hpp"
 
 namespace yoketurn {
--- a/src/emulator/network.hpp
+++ b/src/emulator/network.hpp
@@ -6,10 +6,10 @@
 #include <random>
 #include <vector>
 
-#include "routing_policy.hpp"
 #include "days/day.hpp"
 #include "emulator/engine.hpp"
 #include "emulator/flights.hpp"
+#include "routing_policy.hpp"
 
 namespace yoketurn::emulator {
 
