--- a/examples/standin.hpp
+++ b/examples/standin.hpp
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "buffers/ring.hpp"
+#include "buffers/ring_buffer.hpp"
 #include "datanodes/frames.hpp"
 #include "queries/clock.hpp"
 
@@ -53,7 +53,7 @@
   }
   bool open() const { return socket_.is_open(); }
 
-  Ring in{2 * kLargestFrame};
+  RingBuffer in{2 * kLargestFrame};
 
  private:
   void read() {
--- a/src/buffers/socket_errors.hpp
+++ b/src/buffers/socket_errors.hpp
@@ -1,4 +1,4 @@
-// What the errors of system calls on sockets mean to those who read, write and connect them.
+// Classifies the errors of system calls on sockets by how the caller has to handle them.
 #pragma once
 
 #include <algorithm>
@@ -9,29 +9,30 @@
 
 namespace yoketurn {
 
-// A lack of memory for buffers on this machine, which passes. The socket may well be ready meanwhile: the
-// call is made again after a while, or the loop would do nothing else.
-inline constexpr double kRetryAfterLack = 0.01;  // seconds
-inline bool is_lack_of_memory(const boost::system::error_code& error) {
+// The kernel has temporarily no memory for socket buffers. The socket may still be reported ready, so retry
+// after this delay: an immediate retry would make the event loop spin.
+inline constexpr double kOutOfMemoryRetrySeconds = 0.01;
+inline bool is_out_of_memory(const boost::system::error_code& error) {
   return error == boost::asio::error::no_buffer_space || error == boost::asio::error::no_memory;
 }
 
-// The socket is not ready; the call is made again once it is.
-inline bool is_not_ready(const boost::system::error_code& error) {
+// The socket is not ready; repeat the call once it is.
+inline bool would_block(const boost::system::error_code& error) {
   return error == boost::asio::error::would_block || error == boost::asio::error::try_again;
 }
 
-// The call is made again, at once or once the socket is ready: nothing has happened to the connection.
+// The connection is intact; repeat the call at once or once the socket is ready.
 inline bool is_transient(const boost::system::error_code& error) {
-  return is_not_ready(error) || error == boost::asio::error::interrupted;
+  return would_block(error) || error == boost::asio::error::interrupted;
 }
 
-// A connection could not be opened for want of a descriptor, port, memory or permission on this machine: that
-// tells nothing of the peer.
-inline bool is_local_lack(const boost::system::error_code& error) {
-  static constexpr std::array kLacks{EMFILE, ENFILE, EADDRNOTAVAIL, EACCES, EAGAIN, EPERM, ENOMEM, ENOBUFS};
+// Opening a connection failed for lack of a descriptor, port, memory or permission on this host. Says nothing
+// about the peer.
+inline bool is_local_resource_error(const boost::system::error_code& error) {
+  static constexpr std::array kLocalErrors{EMFILE, ENFILE, EADDRNOTAVAIL, EACCES,
+                                           EAGAIN, EPERM,  ENOMEM,        ENOBUFS};
   return error.category() == boost::system::system_category() &&
-         std::find(kLacks.begin(), kLacks.end(), error.value()) != kLacks.end();
+         std::find(kLocalErrors.begin(), kLocalErrors.end(), error.value()) != kLocalErrors.end();
 }
 
 }  // namespace yoketurn
--- a/src/clients/connection.cpp
+++ b/src/clients/connection.cpp
@@ -120,7 +120,7 @@
 // there is waited for and then read, so that a read that brings less than there is leaves nothing unnoticed.
 void ClientConnection::read() {
   if (reading_ || state_ == State::closed) return;
-  if (in_.free() == 0) return state_ == State::asked ? watch_departure() : void();
+  if (in_.free_space() == 0) return state_ == State::asked ? watch_departure() : void();
   reading_ = true;
   in_.release();
   socket_.async_wait(asio::ip::tcp::socket::wait_read, [self = shared_from_this()](const auto& error) {
@@ -135,8 +135,8 @@
   if (state_ == State::closed) return;
   boost::system::error_code error;
   const auto count = socket_.read_some(in_.space(), error);
-  if (is_lack_of_memory(error))
-    return due_.set_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::read);
+  if (is_out_of_memory(error))
+    return due_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &ClientConnection::read);
   if (is_transient(error)) return read();
   if (error) return lost();
   in_.commit(count);
@@ -184,11 +184,11 @@
   if (parser_->is_header_done() && !parser_->is_done() && !continued_ &&
       boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
     continued_ = true;
-    out_.put("HTTP/1.1 100 Continue\r\n\r\n");
+    out_.append("HTTP/1.1 100 Continue\r\n\r\n");
     write();
   }
   if (!parser_->is_done()) {
-    if (in_.free() == 0) fail(431, "header too large");
+    if (in_.free_space() == 0) fail(431, "header too large");
     return;
   }
   state_ = State::asked;
@@ -219,8 +219,8 @@
   // What was read behind this request is owed an answer too, though none of it is sent on any more.
   refuses_rest_ = keep_alive_ && !owner_.keeps() && in_.size() > 0;
   keep_alive_ = keep_alive_ && (owner_.keeps() || refuses_rest_);
-  out_.put(answer_head(status, body.size(), keep_alive_, retry_after));
-  out_.put(body);
+  out_.append(answer_head(status, body.size(), keep_alive_, retry_after));
+  out_.append(body);
   write();
 }
 
@@ -231,8 +231,8 @@
   boost::system::error_code error;
   while (out_.size() > 0 && !error) out_.consume(socket_.write_some(out_.data(), error));
   if (is_transient(error)) return await_writable();
-  if (is_lack_of_memory(error))
-    return due_.set_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::write);
+  if (is_out_of_memory(error))
+    return due_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &ClientConnection::write);
   if (!error && state_ != State::answering) return;
   writing_ = true;
   asio::post(socket_.get_executor(), [self = shared_from_this(), failed = bool(error)] {
--- a/src/clients/connection.hpp
+++ b/src/clients/connection.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "buffers/ring.hpp"
+#include "buffers/ring_buffer.hpp"
 #include "clients/bodies.hpp"
 #include "queries/due.hpp"
 #include "timeline/event.hpp"
@@ -89,7 +89,7 @@
   Shut shut_ = Shut::by_client;
   int status_ = 0;
   std::size_t drained_ = 0;  // read and thrown away after the last answer
-  Ring in_, out_;
+  RingBuffer in_, out_;
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
 };
 
--- a/src/clients/listener.cpp
+++ b/src/clients/listener.cpp
@@ -74,7 +74,7 @@
     boost::system::error_code error;
     acceptor_.accept(socket, error);
     if (error == asio::error::interrupted || error == asio::error::connection_aborted) continue;
-    if (is_not_ready(error)) break;
+    if (would_block(error)) break;
     if (error) {
       asker_.door(What::door_failed, 0, 0, 0, static_cast<double>(connections_.size()), 0);
       log_.line("accept_failed", "why=\"{}\" connections={}", error.message(), connections_.size());
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -43,7 +43,7 @@
   if (state_ != State::connecting) return;
   if (error)
     return close(Closing::refused, error.message(), Outcome::broken,
-                 is_local_lack(error) ? Outcome::unsent : Outcome::unreachable);
+                 is_local_resource_error(error) ? Outcome::unsent : Outcome::unreachable);
   boost::system::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
@@ -148,7 +148,7 @@
     for (const auto& part : call) mark_written(part.id);
     return true;
   }
-  outgoing_.put(std::string_view(frame).substr(written));
+  outgoing_.append(std::string_view(frame).substr(written));
   cut_frame_ = {frame.size() - written, {}};
   for (const auto& part : call) cut_frame_.ids.push_back(part.id);
   unwanted_.clear();
@@ -162,11 +162,11 @@
     written = socket_.write_some(asio::buffer(bytes), error);
   } while (error == asio::error::interrupted);
   if (!error) return true;
-  if (is_not_ready(error)) {
+  if (would_block(error)) {
     await_writable();
-  } else if (is_lack_of_memory(error)) {
+  } else if (is_out_of_memory(error)) {
     // This machine's lack, not the node's: the call waits, as it does for a full socket.
-    due_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::write);
+    due_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &NodeConnection::write);
   } else {
     write_failed(error);
   }
@@ -240,7 +240,7 @@
   }
   if (state_ != State::open) return;
   if (!lacks_memory_) return await_readable();
-  due_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::read_available);
+  due_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &NodeConnection::read_available);
 }
 
 bool NodeConnection::read_some() {
@@ -248,8 +248,8 @@
   boost::system::error_code error;
   const auto count = socket_.read_some(in_.space(), error);
   if (error == asio::error::interrupted) return true;
-  if (is_not_ready(error) || is_lack_of_memory(error)) {
-    lacks_memory_ = is_lack_of_memory(error);
+  if (would_block(error) || is_out_of_memory(error)) {
+    lacks_memory_ = is_out_of_memory(error);
     in_.release();  // a connection that rests has no buffer
     return false;
   }
@@ -316,7 +316,7 @@
   retired_ = retired_ || leaves;
   if (leaves) end_waiting();
   const auto frame = give_up_frame(id);
-  if (state_ == State::open) outgoing_.put(frame);
+  if (state_ == State::open) outgoing_.append(frame);
   write();
   if (state_ == State::open) settle();
   return leaves;
@@ -344,7 +344,7 @@
   if (state_ != State::open || retired_ || (load_asked_ > 0 && now < load_asked_ + kLoadPatience))
     return false;
   const auto frame = yoketurn::frame('M', "");
-  if (!outgoing_.put(frame)) return false;
+  if (!outgoing_.append(frame)) return false;
   load_asked_ = now;
   write();
   return true;
--- a/src/datanodes/connection.hpp
+++ b/src/datanodes/connection.hpp
@@ -9,7 +9,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "buffers/ring.hpp"
+#include "buffers/ring_buffer.hpp"
 #include "datanodes/frames.hpp"
 #include "queries/due.hpp"
 #include "timeline/event.hpp"
@@ -124,7 +124,7 @@
   double last_heard_ = 0;
   double opened_at_ = 0;
   double load_asked_ = 0;  // 0: no report is due
-  Ring in_, outgoing_;
+  RingBuffer in_, outgoing_;
   std::deque<std::vector<OutgoingPart>> waiting_;  // calls of which no byte was written
   CutFrame cut_frame_;
   std::unordered_set<std::string> unwanted_;  // parts of it that would be taken back if they could be
--- a/src/datanodes/frames.cpp
+++ b/src/datanodes/frames.cpp
@@ -20,7 +20,7 @@
 }
 
 // Bytes that are not there yet read as 0: the length is at least this.
-std::size_t length_at(const Ring& ring) {
+std::size_t length_at(const RingBuffer& ring) {
   std::array<char, kLengthBytes> head{};
   ring.peek(0, head.data(), std::min(ring.size(), head.size()));
   std::size_t length = 0;
@@ -53,7 +53,7 @@
   return frame('C', id);
 }
 
-bool may_begin_frame(const Ring& ring) {
+bool may_begin_frame(const RingBuffer& ring) {
   if (ring.size() == 0) return true;
   const auto length = length_at(ring);
   if (length + kLengthBytes > kLargestFrame || (ring.size() >= kLengthBytes && length == 0)) return false;
@@ -63,7 +63,7 @@
   return std::string_view("SCRFHM").find(letter) != std::string_view::npos;
 }
 
-FrameState take_frame(Ring& ring, Frame& result) {
+FrameState take_frame(RingBuffer& ring, Frame& result) {
   if (!may_begin_frame(ring)) return FrameState::broken;
   if (ring.size() < kLengthBytes) return FrameState::incomplete;
   const auto length = length_at(ring);
--- a/src/datanodes/frames.hpp
+++ b/src/datanodes/frames.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 
 #include "brain.hpp"
-#include "buffers/ring.hpp"
+#include "buffers/ring_buffer.hpp"
 
 namespace yoketurn {
 
@@ -32,9 +32,9 @@
 };
 
 enum class FrameState { incomplete, whole, broken };
-FrameState take_frame(Ring& ring, Frame& frame);
+FrameState take_frame(RingBuffer& ring, Frame& frame);
 
-bool may_begin_frame(const Ring& ring);  // whether what stands there can be the first bytes of a frame
+bool may_begin_frame(const RingBuffer& ring);  // whether what stands there can be the first bytes of a frame
 
 struct PartAnswer {
   std::string_view id;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -73,8 +73,8 @@
   void read_some() {
     boost::system::error_code error;
     const auto count = socket.read_some(ring.space(), error);
-    if (watch != nullptr && is_lack_of_memory(error))
-      return watch->due_.set_once(now() + kRetryAfterLack, weak_from_this(), &Connection::read);
+    if (watch != nullptr && is_out_of_memory(error))
+      return watch->due_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &Connection::read);
     if (is_transient(error)) return read();
     if (error) return fail(error.message());
     ring.commit(count);
@@ -92,7 +92,7 @@
       if (used == 0) break;
     }
     if (parser.is_done()) return fail("ended");
-    if (ring.free() == 0 || list_size > kLongestList) return fail("list too long");
+    if (ring.free_space() == 0 || list_size > kLongestList) return fail("list too long");
     read();
   }
   // A list may stand on several lines. Only what is whole tells that the watch lives: an empty line between
@@ -122,7 +122,7 @@
   asio::ip::tcp::socket socket;
   Watch* watch;  // null: no longer wanted
   std::string request;
-  Ring ring{kRing};
+  RingBuffer ring{kRing};
   http::response_parser<http::string_body> parser;
   boost::json::stream_parser list;  // the one that has begun to come
   std::size_t list_size = 0;        // its bytes so far
--- a/src/discovery/watch.hpp
+++ b/src/discovery/watch.hpp
@@ -13,7 +13,7 @@
 #include <optional>
 #include <string>
 
-#include "buffers/ring.hpp"
+#include "buffers/ring_buffer.hpp"
 #include "discovery/list.hpp"
 #include "logging/log.hpp"
 #include "queries/due.hpp"
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -2,7 +2,7 @@
 
 #include <thread>
 
-#include "buffers/ring.hpp"
+#include "buffers/ring_buffer.hpp"
 #include "clients/bodies.hpp"
 #include "datanodes/frames.hpp"
 #include "datanodes/pool.hpp"
@@ -16,7 +16,7 @@
 
 namespace {
 
-std::string read_all(Ring& ring) {
+std::string read_all(RingBuffer& ring) {
   std::string text(ring.size(), ' ');
   ring.peek(0, text.data(), text.size());
   ring.consume(text.size());
@@ -34,18 +34,18 @@
 
 TEST_CASE("the ring keeps order at every place of its wrap, and its bound") {
   for (std::size_t start = 0; start < 8; ++start) {
-    Ring ring(8);
-    CHECK(ring.put(std::string(start, '.')));
-    CHECK(ring.put("a"));
+    RingBuffer ring(8);
+    CHECK(ring.append(std::string(start, '.')));
+    CHECK(ring.append("a"));
     ring.consume(start);  // what is left begins at every place of the ring in turn
-    CHECK(ring.put("bcdefgh"));
-    CHECK(!ring.put("i"));
-    CHECK(ring.free() == 0);
+    CHECK(ring.append("bcdefgh"));
+    CHECK(!ring.append("i"));
+    CHECK(ring.free_space() == 0);
     const auto spans = ring.data();
     CHECK(spans[0].size() + spans[1].size() == 8);
     CHECK(read_all(ring) == "abcdefgh");
     ring.release();
-    CHECK(ring.put("again"));
+    CHECK(ring.append("again"));
     CHECK(read_all(ring) == "again");
   }
 }
@@ -138,19 +138,19 @@
 TEST_CASE("frames are whole wherever they are cut, and unusable ones are told") {
   const auto both = frame('R', "a.1 done 7 -\nv") + frame('F', "");
   for (std::size_t cut = 0; cut <= both.size(); ++cut) {
-    Ring ring(kLargestFrame);
+    RingBuffer ring(kLargestFrame);
     std::string seen;
     Frame got;
     for (const auto& piece : {both.substr(0, cut), both.substr(cut)}) {
-      ring.put(piece);
+      ring.append(piece);
       while (take_frame(ring, got) == FrameState::whole) seen += got.letter + got.rest + "|";
     }
     CHECK(seen == "Ra.1 done 7 -\nv|F|");
   }
   for (const auto& head : {std::string("\0\0\0\0", 4), std::string("\x7f\0\0\1", 4)}) {
-    Ring ring(kLargestFrame);
+    RingBuffer ring(kLargestFrame);
     Frame got;
-    ring.put(head);
+    ring.append(head);
     CHECK(take_frame(ring, got) == FrameState::broken);
   }
 }
