--- a/src/clients/listener.hpp
+++ b/src/clients/listener.hpp
@@ -30,7 +30,7 @@
   ~Listener();
 
   void open(const boost::asio::ip::tcp::endpoint& at);  // throws if it can't listen there
-  boost::asio::ip::tcp::endpoint at() const { return acceptor_.local_endpoint(); }
+  boost::asio::ip::tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
   void answer(int connection, int status, std::string_view body, double retry_after = 0);
   void wind_down();   // answers are the last of their connections from here on
   void close_idle();  // between two requests
--- a/src/commands/check.cpp
+++ b/src/commands/check.cpp
@@ -23,7 +23,7 @@
   }
   std::size_t memory = 0;
   try {
-    if (!config.empty()) memory = load_config(config).memory;
+    if (!config.empty()) memory = load_config(config).memory_bytes;
     if (!file.empty()) load_operators(file, memory);
     fmt::print("{}: good\n", file.empty() ? config : file);
     return 0;
--- a/src/commands/run.cpp
+++ b/src/commands/run.cpp
@@ -16,10 +16,10 @@
       config_path = path;
     if (config_path.empty()) throw Malformed("configuration: RELAY_CONFIG is not set");
     auto config = load_config(config_path);
-    if (!operators.empty()) load_operators_into(config, operators);
+    if (!operators.empty()) load_operators_file(config, operators);
     boost::asio::io_context context(1);
     Router router(context, config, log);
-    router.build(kBuild.revision, kBuild.decisions);
+    router.set_build(kBuild.revision, kBuild.decisions);
     router.start();
     // Nothing that comes over a socket ends the process: what nobody has foreseen is told, and the rest goes
     // on.
--- a/src/discovery/node_ages.cpp
+++ b/src/discovery/node_ages.cpp
@@ -16,7 +16,7 @@
   known.listed = true;
   if (is_new || known.started != started) {
     known.started = started;
-    known.born = now - age(span(started, wall_now), now);
+    known.born = now - age(seconds_between(started, wall_now), now);
   }
   return known.born;
 }
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -131,7 +131,7 @@
 
 int plan(const Options& o) {
   const auto config = load_config(o.config);
-  auto list = config.known;
+  auto list = config.initial_members;
   if (!o.list.empty()) list = read_list(content_of(o.list));
   const auto zones = index(config.zones);
   PlannedTown town;
--- a/src/router/config.cpp
+++ b/src/router/config.cpp
@@ -16,42 +16,43 @@
 
 namespace {
 
-constexpr long long kFewestSockets = 64;
+constexpr long long kMinSockets = 64;
 
-boost::asio::ip::tcp::endpoint endpoint(const boost::json::object& object, std::string_view name) {
+boost::asio::ip::tcp::endpoint endpoint_field(const boost::json::object& object, std::string_view name) {
   const auto text = text_field(object, name);
-  const auto at = read_endpoint(text);
-  if (!at) complain(name, text);
-  return *at;
+  const auto parsed = read_endpoint(text);
+  if (!parsed) complain(name, text);
+  return *parsed;
 }
 
 }  // namespace
 
-Config read_config(std::string_view source) {
-  const auto object = parse_object(source, "the configuration");
+Config parse_config(std::string_view text) {
+  const auto object = parse_object(text, "the configuration");
   Config config;
   config.name = text_field(object, "name");
-  config.listen = endpoint(object, "listen");
-  config.discovery = endpoint(object, "discovery");
+  config.listen = endpoint_field(object, "listen");
+  config.discovery = endpoint_field(object, "discovery");
   const auto seed = text_field(object, "seed");
-  const auto [end, wrong] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
-  if (wrong != std::errc{} || end != seed.data() + seed.size()) complain("seed", seed);
-  config.sockets = static_cast<std::size_t>(number_field<long long>(
-      object_field(object, "limits"), "sockets", kFewestSockets, std::numeric_limits<int>::max()));
+  const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
+  if (error != std::errc{} || end != seed.data() + seed.size()) complain("seed", seed);
+  config.max_sockets = static_cast<std::size_t>(number_field<long long>(
+      object_field(object, "limits"), "sockets", kMinSockets, std::numeric_limits<int>::max()));
   if (const auto& limits = object_field(object, "limits"); limits.contains("memory_mb"))
-    config.memory = static_cast<std::size_t>(number_field<double>(limits, "memory_mb", 1, 1e7) * 1024 * 1024);
-  config.known = read_list(object_field(object, "known"));
-  config.setup = pairs(object_field(object, "settings"));
-  check_shape(config.setup);
-  config.settings = settings(config.setup);
-  config.peers_left_out = std::exchange(config.settings.may_tell, false);
-  config.bounds = bounds(config.setup);
-  std::string shared = fmt::format("{}/{}", config.sockets, config.memory);
-  for (const auto& [path, value] : config.setup)
-    if (path != "zone") shared += fmt::format(";{}={}", path, value);
-  config.hash = id_of(shared);
-  config.verticals = names(config.setup, "classes");
-  config.zones = split(required(config.setup, "zones"), ',');
+    config.memory_bytes =
+        static_cast<std::size_t>(number_field<double>(limits, "memory_mb", 1, 1e7) * 1024 * 1024);
+  config.initial_members = read_list(object_field(object, "known"));
+  config.raw_settings = pairs(object_field(object, "settings"));
+  check_shape(config.raw_settings);
+  config.settings = settings(config.raw_settings);
+  config.ignores_peer_messages = std::exchange(config.settings.may_tell, false);
+  config.bounds = bounds(config.raw_settings);
+  std::string hashed = fmt::format("{}/{}", config.max_sockets, config.memory_bytes);
+  for (const auto& [path, value] : config.raw_settings)
+    if (path != "zone") hashed += fmt::format(";{}={}", path, value);
+  config.hash = id_of(hashed);
+  config.verticals = names(config.raw_settings, "classes");
+  config.zones = split(required(config.raw_settings, "zones"), ',');
   return config;
 }
 
@@ -60,13 +61,13 @@
   std::stringstream content;
   content << file.rdbuf();
   if (!file) throw Malformed("configuration: " + path + " can't be read");
-  auto config = read_config(content.str());
+  auto config = parse_config(content.str());
   config.path = path;
   return config;
 }
 
-void load_operators_into(Config& config, const std::string& path) {
-  config.operators = load_operators(path, config.memory);
+void load_operators_file(Config& config, const std::string& path) {
+  config.operators = load_operators(path, config.memory_bytes);
   config.operators_path = path;
 }
 
--- a/src/router/config.hpp
+++ b/src/router/config.hpp
@@ -1,4 +1,4 @@
-// What a router is told at its start, and again whenever its configuration is replaced.
+// The configuration of a router, read at its start and again on each reload.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,26 +12,28 @@
 namespace yoketurn {
 
 struct Config {
-  std::string path;        // empty: it came from no file
-  std::uint64_t hash = 0;  // of settings and limits: what all routers of a fleet should have alike
+  std::string path;  // empty: not read from a file
+  // Of the settings and limits, but for the zone: equal on all routers of a fleet that are configured alike.
+  std::uint64_t hash = 0;
   std::string name;
   boost::asio::ip::tcp::endpoint listen;
   boost::asio::ip::tcp::endpoint discovery;
   std::uint64_t seed = 0;
-  std::size_t sockets = 0;
-  std::size_t memory = 0;  // bytes; 0: not told
-  MemberList known;
-  Pairs setup;  // the settings as they are told, from which these two are read
+  std::size_t max_sockets = 0;   // file descriptors the router may use
+  std::size_t memory_bytes = 0;  // the router may use; 0: not stated
+  MemberList initial_members;    // in use until discovery sends a list
+  Pairs raw_settings;            // as read from the file; `settings` and `bounds` are derived from them
   Settings settings;
-  bool peers_left_out = false;  // the protocol has no way to other routers: nothing is told though it may be
+  // The settings allow messages between routers, but the protocol has no path for them: none are sent.
+  bool ignores_peer_messages = false;
   Bounds bounds;
   std::vector<std::string> verticals, zones;
-  std::string operators_path;  // empty: there is no operators' file
+  std::string operators_path;  // of the operators' file; empty: there is none
   Operators operators = default_operators();
 };
 
-Config read_config(std::string_view text);                          // throws Malformed
+Config parse_config(std::string_view text);                         // throws Malformed
 Config load_config(const std::string& path);                        // throws Malformed
-void load_operators_into(Config& config, const std::string& path);  // throws BadOperators
+void load_operators_file(Config& config, const std::string& path);  // throws BadOperators
 
 }  // namespace yoketurn
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -14,30 +14,31 @@
 
 namespace {
 
-constexpr double kFigures = 10;  // between two lines of figures
-constexpr std::size_t kRoomShare =
-    4;  // of the descriptors: from so many clients on idle ones make room, as these hold a third
-constexpr std::size_t kOtherSockets = 16;   // streams, event queue, timers, signals, listener, discovery
-constexpr std::size_t kNodeShare = 2;       // one in so many descriptors may go to data nodes
-constexpr std::size_t kMostNodes = 20'000;  // known by name
-constexpr double kAskAgain = 2;             // between two questions for the whole list because of its count
-constexpr double kVersionsAgain = 30;       // after which a time line is told all versions again
-constexpr double kLate = 0.05;              // by which a round of the loop is late enough to be told
-constexpr double kStill = 0.25;             // and by which the router stood still
-// Without any turn of the loop for so long, a little more than its period, what came meanwhile is read first.
-constexpr double kReadsFirstAfter = 0.14;
-constexpr std::size_t kTimelineSockets = 2;  // its listener, a file; and its readers
-
-std::size_t other_sockets(const Config& config) {
+constexpr double kCountersLogSeconds = 10;
+// Clients may hold about half of the descriptors. Idle ones are closed for new ones from this fraction of all
+// descriptors on: 1 / kMakeRoomDivisor.
+constexpr std::size_t kMakeRoomDivisor = 4;
+constexpr std::size_t kReservedSockets = 16;  // streams, event queue, timers, signals, listener, discovery
+constexpr std::size_t kNodeDivisor = 2;  // data nodes get at most 1 / kNodeDivisor of the other descriptors
+constexpr std::size_t kMaxTrackedNodes = 20'000;
+constexpr double kMinFullListIntervalSeconds = 2;    // of requests for the whole list because of its count
+constexpr double kVersionEventIntervalSeconds = 30;  // after which the timeline gets all versions again
+constexpr double kLateTickSeconds = 0.05;            // a tick this late is recorded as late
+constexpr double kStandstillTickSeconds = 0.25;      // a tick this late is recorded as a standstill
+// Without a turn of the loop for so long, a little more than its period, unread input is read first.
+constexpr double kMinStandstillSeconds = 0.14;
+constexpr std::size_t kTimelineSockets = 2;  // its listener and a segment file, beside those of its readers
+
+std::size_t reserved_sockets(const Config& config) {
   const auto& timeline = config.operators.timeline;
-  return kOtherSockets +
+  return kReservedSockets +
          (timeline.on
               ? kTimelineSockets + (timeline.listen.empty() ? 0 : static_cast<std::size_t>(timeline.readers))
               : 0);
 }
 
 std::size_t node_connections(const Config& config) {
-  return (config.sockets - other_sockets(config)) / kNodeShare;
+  return (config.max_sockets - reserved_sockets(config)) / kNodeDivisor;
 }
 
 Log::Form log_form(const Operators& operators) {
@@ -115,19 +116,20 @@
       zones_(index(config.zones)),
       unix_at_zero_(unix_at_zero()),
       shutdown_(config.bounds.longest_wait),
-      still_(kReadsFirstAfter),
+      standstill_(kMinStandstillSeconds),
       node_ages_(config.settings.cold_time),
-      standing_({config.name, site_of(config), config.verticals}, config.seed, now(), unix_at_zero_, log,
-                {[this] { watch_.ask_again(); }, [this] { reload(); },
-                 [this](const asio::ip::tcp::endpoint& at) {
-                   discovery_now_ = at;
-                   watch_.follow(at);
-                 }}),
+      version_reporter_({config.name, site_of(config), config.verticals}, config.seed, now(), unix_at_zero_,
+                        log,
+                        {[this] { watch_.ask_again(); }, [this] { reload(); },
+                         [this](const asio::ip::tcp::endpoint& at) {
+                           discovery_now_ = at;
+                           watch_.follow(at);
+                         }}),
       discovery_now_(config.discovery),
       queries_(config.settings, config.seed, now(), due_, *this),
       pool_(context, due_, node_limits(config.bounds), node_connections(config), log, *this),
-      clients_(context, due_, config.sockets - other_sockets(config) - node_connections(config),
-               config.sockets / kRoomShare, log, *this),
+      clients_(context, due_, config.max_sockets - reserved_sockets(config) - node_connections(config),
+               config.max_sockets / kMakeRoomDivisor, log, *this),
       watch_(context, due_, config.discovery, log, *this),
       tick_timer_(context),
       due_timer_(context),
@@ -139,27 +141,28 @@
 }
 
 void Router::start() {
-  if (config_.peers_left_out)
+  if (config_.ignores_peer_messages)
     log_.line("left_out", "key=bounds.peer_messages why=\"no way to other routers\"");
   signals_.add(SIGTERM);
   signals_.add(SIGHUP);
   await_signal();
   log_.shape(log_form(config_.operators));
-  standing_.changed = [this](Subject subject) {
+  version_reporter_.on_version_change = [this](Subject subject) {
     if (recorder_)
-      recorder_->version(subject, standing_.versions().version(subject), standing_.versions().number(),
-                         now());
+      recorder_->version(subject, version_reporter_.versions().version(subject),
+                         version_reporter_.versions().number(), now());
   };
   watch_over(config_.operators);
-  standing_.file(Subject::configuration, config_.hash, config_.path, now());
-  standing_.file(Subject::operators, config_.operators.hash, config_.operators_path, now());
+  version_reporter_.set_file_version(Subject::configuration, config_.hash, config_.path, now());
+  version_reporter_.set_file_version(Subject::operators, config_.operators.hash, config_.operators_path,
+                                     now());
   clients_.open(config_.listen);
   log_.line("phase", "name={} router={} listen={}:{}", name(phase_), config_.name,
             config_.listen.address().to_string(), config_.listen.port());
-  listed(config_.known);
-  watch_.start(config_.known.version);
+  listed(config_.initial_members);
+  watch_.start(config_.initial_members.version);
   next_tick_ = now();
-  figures_at_ = next_tick_ + kFigures;
+  figures_at_ = next_tick_ + kCountersLogSeconds;
   // What is read may set a time that comes before the next turn: a lost watch would be opened a tick later.
   due_.on_earlier([this] {
     if (!in_turn_) arm();
@@ -167,8 +170,8 @@
   tick();
 }
 
-void Router::build(std::string_view revision, std::uint64_t decisions) {
-  standing_.file(Subject::build, decisions, revision, now());
+void Router::set_build(std::string_view revision, std::uint64_t decisions_hash) {
+  version_reporter_.set_file_version(Subject::build, decisions_hash, revision, now());
 }
 
 void Router::await_signal() {
@@ -188,28 +191,29 @@
     const auto fresh = load_config(config_.path);
     const std::pair<const char*, bool> fixed[] = {{"name", fresh.name != config_.name},
                                                   {"listen", fresh.listen != config_.listen},
-                                                  {"limits", fresh.sockets != config_.sockets},
-                                                  {"settings", fresh.setup != config_.setup}};
+                                                  {"limits", fresh.max_sockets != config_.max_sockets},
+                                                  {"settings", fresh.raw_settings != config_.raw_settings}};
     std::string kept;
     for (const auto& [entry, changed] : fixed)
       if (changed) kept += (kept.empty() ? "" : ",") + std::string(entry);
     log_.line("reloaded", "discovery={}:{} changed={} kept={}", fresh.discovery.address().to_string(),
               fresh.discovery.port(), fresh.discovery != config_.discovery, kept.empty() ? "-" : kept);
     // What is kept is not acted on: the version stays, and that it does is told.
-    standing_.versions().kept(!kept.empty() || !operators_taken, now());
-    if (kept.empty()) standing_.file(Subject::configuration, fresh.hash, config_.path, now());
+    version_reporter_.versions().kept(!kept.empty() || !operators_taken, now());
+    if (kept.empty())
+      version_reporter_.set_file_version(Subject::configuration, fresh.hash, config_.path, now());
     if (fresh.discovery == config_.discovery) return;
     config_.discovery = discovery_now_ = fresh.discovery;
     watch_.follow(fresh.discovery);
   } catch (const std::exception& error) {
-    standing_.versions().kept(true, now());
+    version_reporter_.versions().kept(true, now());
     log_.line("reload_failed", "why=\"{}\"", error.what());
   }
 }
 
 void Router::enter(Phase phase) {
   phase_ = phase;
-  standing_.serving(phase == Phase::serving);
+  version_reporter_.set_serving(phase == Phase::serving);
   log_.line("phase", "name={} in_hand={} clients={}", name(phase), by_client_.size(), clients_.connections());
 }
 
@@ -253,21 +257,22 @@
   if (at && moved)
     server = std::make_unique<TimelineServer>(
         context_, due_, *at, operators.timeline.readers,
-        [this] { return recorder_ ? &recorder_->timeline() : nullptr; }, [this] { return standing_.view(); });
+        [this] { return recorder_ ? &recorder_->timeline() : nullptr; },
+        [this] { return version_reporter_.view(); });
   if (!at || server) server_ = std::move(server);
   if (server_) server_->bound(operators.timeline.readers);
   // The end of a writer waits for its disk: it goes on where nothing of it changes.
   const auto same_segments = same && operators.segments == before.segments;
   config_.operators = operators;
   const auto began = now();
-  standing_.shape(operators.fleet, server_ != nullptr);
+  version_reporter_.configure(operators.fleet, server_ != nullptr);
   queries_.sites().on(sites.on);
-  queries_.sites().evacuate(
-      sites.evacuate.empty()
-          ? std::nullopt
-          : std::optional(Evacuation{look_up(zones_, sites.evacuate), began, sites.over,
-                                     evacuated_until_.told(WallTime{sites.until}, WallTime::now(), began),
-                                     next_tick_ <= 0}));
+  queries_.sites().evacuate(sites.evacuate.empty()
+                                ? std::nullopt
+                                : std::optional(Evacuation{look_up(zones_, sites.evacuate), began, sites.over,
+                                                           evacuated_until_.to_monotonic(
+                                                               WallTime{sites.until}, WallTime::now(), began),
+                                                           next_tick_ <= 0}));
   if (!operators.timeline.on) {
     queries_.witness(nullptr);
     recorder_.reset();
@@ -315,9 +320,9 @@
 bool Router::reload_operators() {
   if (config_.operators_path.empty()) return true;
   try {
-    const auto fresh = load_operators(config_.operators_path, config_.memory);
+    const auto fresh = load_operators(config_.operators_path, config_.memory_bytes);
     watch_over(fresh);
-    standing_.file(Subject::operators, fresh.hash, config_.operators_path, now());
+    version_reporter_.set_file_version(Subject::operators, fresh.hash, config_.operators_path, now());
     log_.shape(log_form(fresh));
     log_.line("operators_reloaded", "path=\"{}\"", config_.operators_path);
     return true;
@@ -330,15 +335,15 @@
   return false;
 }
 
-std::optional<asio::ip::tcp::endpoint> Router::timeline_at() const {
+std::optional<asio::ip::tcp::endpoint> Router::timeline_endpoint() const {
   return server_ ? std::optional(server_->at()) : std::nullopt;
 }
 
 void Router::observe(double at) {
   if (!recorder_) return;
-  if (const auto late = at - next_tick_; late > kStill)
+  if (const auto late = at - next_tick_; late > kStandstillTickSeconds)
     recorder_->loop(What::stood_still, 0, late, 0, at);
-  else if (late > kLate)
+  else if (late > kLateTickSeconds)
     recorder_->loop(What::ran_late, 0, late, 0, at);
   const auto bound = [&](Bound which, long long now_at, long long& before) {
     if (now_at > before)
@@ -368,7 +373,7 @@
   }
 }
 
-void Router::tell_sites() {
+void Router::update_sites() {
   for (const auto& news : queries_.sites().news()) {
     const auto& name_of = config_.zones[static_cast<std::size_t>(news.site)];
     log_.line(
@@ -383,7 +388,7 @@
 }
 
 // A node at a site that is held for lost is no witness against the list.
-void Router::tell_standing(double at) {
+void Router::update_version_reporter(double at) {
   auto lost = false;
   for (std::size_t site = 0; site < zones_.size(); ++site) {
     const auto belief = queries_.sites().belief(static_cast<int>(site));
@@ -398,16 +403,17 @@
       hidden_.resize(std::max(hidden_.size(), static_cast<std::size_t>(node->second) + 1));
       hidden_[static_cast<std::size_t>(node->second)] = true;
     }
-  standing_.tick(phase_ == Phase::draining, lost, hidden_, at);
+  version_reporter_.tick(phase_ == Phase::draining, lost, hidden_, at);
   if (!recorder_ || at < versions_at_) return;
-  versions_at_ = at + kVersionsAgain;
+  versions_at_ = at + kVersionEventIntervalSeconds;
   for (std::size_t i = 0; i < kSubjects; ++i)
-    if (const auto subject = static_cast<Subject>(i); standing_.versions().version(subject).epoch > 0)
-      recorder_->version(subject, standing_.versions().version(subject), standing_.versions().number(), at);
+    if (const auto subject = static_cast<Subject>(i); version_reporter_.versions().version(subject).epoch > 0)
+      recorder_->version(subject, version_reporter_.versions().version(subject),
+                         version_reporter_.versions().number(), at);
 }
 
 void Router::ended(int vertical, const Call& call) {
-  auto& versions = standing_.versions();
+  auto& versions = version_reporter_.versions();
   if (call.outcome == Outcome::unsent || call.outcome == Outcome::unreachable)
     versions.unsent(vertical, call.node);
   versions.ended(call.node, call.outcome, now());
@@ -457,14 +463,14 @@
     observe(at);
     next_tick_ = at + queries_.period();
     queries_.tick(at);  // the list is always followed: it need not be asked for
-    tell_sites();
-    tell_standing(at);
+    update_sites();
+    update_version_reporter(at);
     log_.sum_up(at);
-    tell_figures(at);
+    log_counters(at);
     turn();
     let_go();
   }
-  tick_timer_.expires_after(until(waits ? at + Standstill::kRest : next_tick_));
+  tick_timer_.expires_after(until(waits ? at + StandstillDetector::kReadRoundSeconds : next_tick_));
   tick_timer_.async_wait([this](const auto& error) {
     if (!error) tick();
   });
@@ -480,7 +486,7 @@
 void Router::turn() {
   woken_ = false;
   const auto at = now();
-  if (reads_first(at)) return due_after(at + Standstill::kRest);
+  if (reads_first(at)) return due_after(at + StandstillDetector::kReadRoundSeconds);
   in_turn_ = true;
   take_turn(at);
   in_turn_ = false;
@@ -491,7 +497,7 @@
   for (auto& news : std::exchange(news_, {})) {
     const auto held = held_.find(news.ref.query);
     if (held == held_.end()) continue;
-    --calls_out_;
+    --pending_calls_;
     if (news.outcome == Outcome::success) keep(held->second, news.ref.leaf, std::move(news.value));
     queries_.outcome(news.ref.query, news.ref.leaf, news.ref.call, news.outcome, news.score, at);
   }
@@ -505,7 +511,7 @@
 }
 
 bool Router::reads_first(double at) {
-  return still_.holds(at, [this] { return watch_.unread(); });
+  return standstill_.must_read_first(at, [this] { return watch_.unread(); });
 }
 
 void Router::arm() {
@@ -524,9 +530,9 @@
   });
 }
 
-void Router::tell_figures(double at) {
+void Router::log_counters(double at) {
   if (at < figures_at_) return;
-  figures_at_ = at + kFigures;
+  figures_at_ = at + kCountersLogSeconds;
   log_.line("figures",
             "taken={} merged={} rejected={} aborted={} left={} bad={} in_hand={} open={} clients={} nodes={}",
             figures_.taken, figures_.merged, figures_.rejected, figures_.aborted, figures_.left, figures_.bad,
@@ -539,7 +545,7 @@
   try {
     if (request.target() == "/_health") {
       if (request.method() != boost::beast::http::verb::get) throw BadRequest(405, "health is a GET");
-      const auto takes = phase_ == Phase::serving && standing_.healthy();
+      const auto takes = phase_ == Phase::serving && version_reporter_.healthy();
       clients_.answer(connection, takes ? 200 : 503,
                       takes || phase_ != Phase::serving ? name(phase_) : "aside");
       return;
@@ -563,10 +569,11 @@
   q.vertical = ask.vertical;
   q.expires = at + ask.remaining;
   // What comes so late must not be found without its answer by SIGKILL.
-  if (phase_ == Phase::draining) q.expires = std::min(q.expires, shutdown_.answers_by());
+  if (phase_ == Phase::draining) q.expires = std::min(q.expires, shutdown_.answer_deadline());
   q.client_retry = ask.client_retry;
   const auto no_room = open_ >= config_.bounds.max_open;
-  if (no_room || standing_.bars(at)) q.barred = no_room ? Reason::no_room : Reason::shut_out;
+  if (no_room || version_reporter_.rejects_new_query(at))
+    q.barred = no_room ? Reason::no_room : Reason::shut_out;
   for (const auto& target : ask.targets) q.work += target.work;
   auto& held = held_[number];
   held.client = connection;
@@ -626,8 +633,8 @@
 void Router::send(long long query, const Send& send, int call) {
   auto& held = held_.at(query);
   ++held.calls;
-  ++calls_out_;
-  standing_.versions().sent(held.vertical, act_of(send.why.reason), send.node, now());
+  ++pending_calls_;
+  version_reporter_.versions().sent(held.vertical, act_of(send.why.reason), send.node, now());
   const auto leaf = static_cast<std::size_t>(send.leaf);
   const auto& part = held.parts[leaf];
   std::string options;
@@ -650,7 +657,7 @@
     return;
   }
   ++figures_.merged;
-  standing_.versions().answered(held.vertical, whole ? Act::whole : Act::part);
+  version_reporter_.versions().answered(held.vertical, whole ? Act::whole : Act::part);
   std::vector<Result> results;
   for (std::size_t i = static_cast<std::size_t>(held.second_from < kFirstOnly ? held.second_from : 0);
        i < held.parts.size(); ++i)
@@ -660,19 +667,19 @@
 
 void Router::reject(long long query, double stay_away, const Why& why) {
   ++figures_.rejected;
-  standing_.versions().answered(held_.at(query).vertical, Act::rejected);
-  tell_of("rejected", query, why);
+  version_reporter_.versions().answered(held_.at(query).vertical, Act::rejected);
+  log_outcome("rejected", query, why);
   answer(query, 503, "rejected", stay_away);
 }
 
 void Router::abort(long long query, const Why& why) {
   ++figures_.aborted;
-  standing_.versions().answered(held_.at(query).vertical, Act::aborted);
-  tell_of("aborted", query, why);
+  version_reporter_.versions().answered(held_.at(query).vertical, Act::aborted);
+  log_outcome("aborted", query, why);
   answer(query, 500, "aborted");
 }
 
-void Router::tell_of(std::string_view end, long long query, const Why& why) {
+void Router::log_outcome(std::string_view end, long long query, const Why& why) {
   const auto& held = held_.at(query);
   const auto in =
       std::count_if(held.parts.begin(), held.parts.end(), [](const Part& part) { return part.in; });
@@ -728,7 +735,7 @@
 
 void Router::listed(const MemberList& list) {
   members_.apply(list);
-  standing_.listed(members_.list(), list.full, text_of(discovery_now_), now());
+  version_reporter_.set_list(members_.list(), list.full, text_of(discovery_now_), now());
   std::vector<Host> hosts;
   std::set<int> present;
   std::size_t ready = 0;
@@ -742,7 +749,7 @@
     const auto started = born(member);
     hosts.push_back({node, look_up(zones_, member.zone), member.cell, member.up, started});
     present.insert(node);
-    standing_.member(node, member);
+    version_reporter_.set_member(node, member);
     if (recorder_) {
       if (member.gone)
         recorder_->left(node, list.version, now());
@@ -779,7 +786,7 @@
 
 int Router::number_of(const std::string& node) {
   if (const auto at = nodes_.find(node); at != nodes_.end()) return at->second;
-  if (nodes_.size() >= kMostNodes) return kNone;
+  if (nodes_.size() >= kMaxTrackedNodes) return kNone;
   auto number = static_cast<int>(nodes_.size() + spare_.size());
   if (!spare_.empty()) {
     number = spare_.back();
@@ -805,13 +812,13 @@
 }
 
 void Router::watch_lost() {
-  standing_.versions().watch_lost(now());
+  version_reporter_.versions().watch_lost(now());
   queries_.list_failed(now());
 }
 
 void Router::watch_heard() {
   node_ages_.heard(now());
-  standing_.versions().heard(now());
+  version_reporter_.versions().heard(now());
 }
 
 // What merely comes again says nothing. A count that has begun anew says that all that is held may be of
@@ -820,15 +827,15 @@
 void Router::passed_over(const MemberList& list) {
   if (list.members.empty() || list.version >= members_.list().version) return;
   const auto at = now();
-  standing_.versions().passed_over(list.version, at);
+  version_reporter_.versions().passed_over(list.version, at);
   if (at < ask_again_at_) return;
-  ask_again_at_ = at + kAskAgain;
+  ask_again_at_ = at + kMinFullListIntervalSeconds;
   log_.line("list_again", "count={} held={}", list.version, members_.list().version);
   watch_.ask_again();
 }
 
 void Router::unusable() {
-  standing_.versions().unusable(now());
+  version_reporter_.versions().unusable(now());
 }
 
 }  // namespace yoketurn
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -22,8 +22,8 @@
 #include "queries/queries.hpp"
 #include "router/config.hpp"
 #include "router/shutdown.hpp"
-#include "router/standing.hpp"
 #include "router/standstill.hpp"
+#include "router/version_reporter.hpp"
 #include "time/wall_deadline.hpp"
 #include "timeline/recorder.hpp"
 #include "timeline/segments.hpp"
@@ -41,16 +41,17 @@
   ~Router();
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
-  void build(std::string_view revision, std::uint64_t decisions);  // of the program, before the start
+  // Identifies the program: its revision and a hash of its decision code. Call before start().
+  void set_build(std::string_view revision, std::uint64_t decisions_hash);
 
   void start();
   void drain();
   void reload();  // reads its configuration again and follows what of it can change while it runs
   Phase phase() const { return phase_; }
   const Recorder* recorder() const { return recorder_.get(); }  // nullptr: no time line is kept
-  std::optional<boost::asio::ip::tcp::endpoint> timeline_at() const;
-  std::size_t calls_out() const { return calls_out_; }
-  boost::asio::ip::tcp::endpoint at() const { return clients_.at(); }
+  std::optional<boost::asio::ip::tcp::endpoint> timeline_endpoint() const;
+  std::size_t pending_calls() const { return pending_calls_; }
+  boost::asio::ip::tcp::endpoint client_endpoint() const { return clients_.endpoint(); }
 
  private:
   static constexpr int kFirstOnly = std::numeric_limits<int>::max();
@@ -114,8 +115,8 @@
   void watch_over(const Operators& operators);  // throws if it can't; then all is as it was
   void begin_lines(double at);
   void observe(double at);
-  void tell_sites();
-  void tell_standing(double at);
+  void update_sites();
+  void update_version_reporter(double at);
   bool reload_operators();  // whether they were taken, where there are any
 
   void take(int connection, Ask ask);
@@ -133,8 +134,8 @@
   void await_signal();
   void enter(Phase phase);
   void wind_up(double at);
-  void tell_figures(double at);
-  void tell_of(std::string_view end, long long query, const Why& why);
+  void log_counters(double at);
+  void log_outcome(std::string_view end, long long query, const Why& why);
 
   boost::asio::io_context& context_;
   Log& log_;
@@ -149,7 +150,7 @@
   bool in_turn_ = false;
   double next_tick_ = 0;
   double armed_ = 0;
-  Standstill still_;
+  StandstillDetector standstill_;
   long long last_query_ = -1;
   int open_ = 0;  // queries and parts in hand
   std::unordered_map<long long, Held> held_;
@@ -163,9 +164,9 @@
   std::vector<int> spare_;                        // numbers that nodes have had
   Figures figures_;
   double figures_at_ = 0;
-  std::size_t calls_out_ = 0;  // without an outcome
+  std::size_t pending_calls_ = 0;  // without an outcome
 
-  Standing standing_;
+  VersionReporter version_reporter_;
   boost::asio::ip::tcp::endpoint
       discovery_now_;         // that is followed: an order may name another than the configuration
   std::vector<bool> hidden_;  // nodes of sites that are held for lost
--- a/src/router/standstill.hpp
+++ b/src/router/standstill.hpp
@@ -1,33 +1,41 @@
-// Whether this process stood still (stopped, starved, swapped out) and has yet to read what came meanwhile. A
-// process can be stopped between two steps of its loop and go on, seconds later, with the second: all that
-// was due is overdue then, and nothing has been read. By that it would take a watch that has told of drains
-// for silent, and answers that lie in its sockets for late. Times in seconds.
+// Detects that this process stood still (stopped, starved of CPU, or swapped out) and holds back decisions
+// until the input that arrived meanwhile has been read. A process can be stopped between two steps of its
+// event loop and continue with the second one seconds later: all its timers are overdue then, and nothing has
+// been read. Acting on the timers first would treat a discovery watch with unread drain notices as silent,
+// and answers that lie unread in their sockets as late. Times are in seconds.
 #pragma once
 
 namespace yoketurn {
 
-class Standstill {
+class StandstillDetector {
  public:
-  static constexpr double kRest = 0.002;  // in which a round of the loop reads what is there
-  static constexpr double kMost = 0.25;   // more than this is never spent on reading first
+  // Wait between two checks for unread input, long enough for one round of the loop to read what is there.
+  static constexpr double kReadRoundSeconds = 0.002;
+  // Reading first never takes longer than this after a standstill.
+  static constexpr double kMaxReadFirstSeconds = 0.25;
 
-  explicit Standstill(double late) : late_(late) {}  // longer between two calls than this: it stood still
+  // min_standstill: a longer time between two calls of must_read_first() counts as a standstill.
+  explicit StandstillDetector(double min_standstill) : min_standstill_(min_standstill) {}
 
-  // Told at every turn of the loop. True: nothing is to be decided or sent before kRest has passed and it has
-  // been asked again. `unread`, called only then, tells whether discovery's words lie there unread.
-  template <class Unread>
-  bool holds(double at, const Unread& unread) {
-    if (alive_ > 0 && at - alive_ > late_) since_ = at;
-    alive_ = at;
-    if (since_ < 0) return false;
-    if (at < since_ + kRest || (at < since_ + kMost && unread())) return true;
-    since_ = -1;
+  // Call on every turn of the event loop. Returns true if nothing may be decided or sent until
+  // kReadRoundSeconds have passed and it has been called again. has_unread_input() tells whether discovery's
+  // connection has unread bytes; it is called only after a standstill.
+  template <class HasUnreadInput>
+  bool must_read_first(double now, const HasUnreadInput& has_unread_input) {
+    if (last_turn_at_ > 0 && now - last_turn_at_ > min_standstill_) resumed_at_ = now;
+    last_turn_at_ = now;
+    if (resumed_at_ < 0) return false;
+    if (now < resumed_at_ + kReadRoundSeconds ||
+        (now < resumed_at_ + kMaxReadFirstSeconds && has_unread_input()))
+      return true;
+    resumed_at_ = -1;
     return false;
   }
 
  private:
-  double late_;
-  double alive_ = 0, since_ = -1;  // the last turn; when it woke, -1: it has read all
+  double min_standstill_;
+  double last_turn_at_ = 0;  // 0: no turn yet
+  double resumed_at_ = -1;   // when the process resumed; -1: all input has been read since
 };
 
 }  // namespace yoketurn
--- /dev/null
+++ b/src/router/version_reporter.cpp
@@ -0,0 +1,222 @@
+#include "router/version_reporter.hpp"
+
+#include <fmt/format.h>
+#include <sys/stat.h>
+#include <xxhash.h>
+
+#include <algorithm>
+#include <cstring>
+#include <fstream>
+#include <sstream>
+
+#include "versions/orders.hpp"
+
+namespace yoketurn {
+
+namespace {
+
+constexpr double kOrderPollSeconds = 0.5;
+constexpr std::size_t kMeanNodesPerInterval = 24;
+constexpr std::size_t kIntervalsWithoutReaders = 8;
+constexpr std::size_t kMaxOrderBytes = 64 * 1024;
+
+}  // namespace
+
+std::uint64_t content_hash(std::string_view text) {
+  return XXH3_64bits(text.data(), text.size());
+}
+
+// Sums the hashes of the members, so that their order doesn't matter.
+std::uint64_t content_hash(std::span<const Member> members) {
+  std::uint64_t sum = members.size();
+  std::string entry;
+  for (const auto& m : members) {
+    entry.assign(m.id);
+    entry += '\0';
+    entry += m.zone;
+    char packed[sizeof m.cell + sizeof m.started.unix_seconds + 1];
+    std::memcpy(packed, &m.cell, sizeof m.cell);
+    std::memcpy(packed + sizeof m.cell, &m.started.unix_seconds, sizeof m.started.unix_seconds);
+    packed[sizeof packed - 1] = static_cast<char>(m.gone ? 2 : m.up ? 1 : 0);
+    entry.append(packed, sizeof packed);
+    sum += XXH3_64bits(entry.data(), entry.size());
+  }
+  return sum;
+}
+
+VersionReporter::VersionReporter(RouterIdentity identity, std::uint64_t seed, double now, double unix_at_zero,
+                                 Log& log, Callbacks callbacks)
+    : identity_(std::move(identity)),
+      unix_at_zero_(unix_at_zero),
+      log_(log),
+      callbacks_(std::move(callbacks)),
+      versions_({}, static_cast<int>(identity_.verticals.size()), now),
+      service_({}, identity_.router, seed) {}
+
+void VersionReporter::configure(const Operators::Fleet& fleet, bool has_readers) {
+  const auto intervals = has_readers ? static_cast<std::size_t>(fleet.intervals) : kIntervalsWithoutReaders;
+  versions_.bound({intervals, intervals * kMeanNodesPerInterval});
+  service_.limit({fleet.alone, fleet.share, fleet.longest});
+  if (orders_folder_ != fleet.orders) last_order_file_.clear();
+  orders_folder_ = fleet.orders;
+}
+
+void VersionReporter::set_file_version(Subject subject, std::uint64_t hash, std::string_view source,
+                                       double now) {
+  report_version(versions_.file(subject, hash, source, now), subject);
+}
+
+void VersionReporter::set_list(const MemberList& whole, bool full, const std::string& source, double now) {
+  report_version(versions_.list(whole.version, content_hash(whole.members), source, full, now, now),
+                 Subject::list);
+}
+
+void VersionReporter::report_version(bool changed, Subject subject) {
+  if (!changed) return;
+  if (!versions_.closed().empty()) log_interval(versions_.closed().back());
+  const auto& version = versions_.version(subject);
+  log_.line("version",
+            "router={} site={} began={:.6f} subject={} epoch={} count={} hash={} source={} interval={}",
+            identity_.router, identity_.site.empty() ? "-" : identity_.site,
+            versions_.began() + unix_at_zero_, name(subject), version.epoch, version.count, hex(version.hash),
+            version.source.empty() ? "-" : version.source, versions_.number());
+  if (on_version_change) on_version_change(subject);
+}
+
+// Logs what was done under the versions that have just been replaced.
+void VersionReporter::log_interval(const Interval& interval) {
+  const auto sums = interval.sums();
+  if (std::all_of(sums.begin(), sums.end(), [](auto sum) { return sum == 0; })) return;
+  const auto of = [&](Subject subject) { return interval.by[static_cast<std::size_t>(subject)]; };
+  const auto sum = [&](Act act) { return sums[static_cast<std::size_t>(act)]; };
+  log_.line("acted",
+            "router={} began={:.6f} interval={} list={}.{} list_hash={} configuration={} operators={} "
+            "build={} from={:.6f} lasted={:.6f} first={} copy={} resent={} unsent={} whole={} part={} "
+            "rejected={} aborted={}",
+            identity_.router, versions_.began() + unix_at_zero_, interval.number, of(Subject::list).epoch,
+            of(Subject::list).count, hex(of(Subject::list).hash), hex(of(Subject::configuration).hash),
+            hex(of(Subject::operators).hash), hex(of(Subject::build).hash), interval.from + unix_at_zero_,
+            interval.to - interval.from, sum(Act::first), sum(Act::copy), sum(Act::resent), sum(Act::unsent),
+            sum(Act::whole), sum(Act::part), sum(Act::rejected), sum(Act::aborted));
+}
+
+void VersionReporter::log_suspicions(double now) {
+  std::array<double, kDoubts> since{};
+  for (const auto& doubt : versions_.doubts()) {
+    const auto i = static_cast<std::size_t>(doubt.kind);
+    since[i] = doubt.since;
+    if (logged_suspicion_since_[i] != doubt.since)
+      log_.line("doubt", "kind={} since={:.3f} evidence={:.4g} list={}", name(doubt.kind),
+                doubt.since + unix_at_zero_, doubt.evidence, versions_.version(Subject::list).count);
+  }
+  for (std::size_t i = 0; i < kDoubts; ++i)
+    if (since[i] == 0 && logged_suspicion_since_[i] != 0)
+      log_.line("doubt_over", "kind={} lasted={:.3f}", name(static_cast<Doubt>(i)),
+                now - logged_suspicion_since_[i]);
+  logged_suspicion_since_ = since;
+}
+
+void VersionReporter::tick(bool draining, bool site_lost, const std::vector<bool>& nodes_in_lost_sites,
+                           double now) {
+  versions_.tick(now, nodes_in_lost_sites);
+  log_suspicions(now);
+  state_ = {site_lost, draining, versions_.doubted_since()};
+  poll_orders(now);
+  for (const auto step : service_.tick(state_, now)) {
+    log_.line("step", "what={} by=itself", name(step));
+    perform(step);
+  }
+  if (service_.taking() != logged_taking_) {
+    logged_taking_ = service_.taking();
+    log_.line("taking", "state={} why=\"{}\" term={} number={}", name(logged_taking_), service_.why(),
+              service_.last().term, service_.last().number);
+  }
+}
+
+// Reads the order file only if it differs from the one read last. A partly written file is read again once it
+// is complete, as that changes its size or time.
+void VersionReporter::poll_orders(double now) {
+  if (orders_folder_.empty() || now < next_poll_at_) return;
+  next_poll_at_ = now + kOrderPollSeconds;
+  const auto path = orders_folder_ + "/" + identity_.router + ".info";
+  struct stat status {};
+  if (::stat(path.c_str(), &status) != 0) return last_order_file_.clear();
+  const auto file_id = fmt::format("{} {}.{} {}", status.st_ino, status.st_mtim.tv_sec,
+                                   status.st_mtim.tv_nsec, status.st_size);
+  if (file_id == last_order_file_) return;
+  last_order_file_ = file_id;
+  try {
+    if (static_cast<std::size_t>(status.st_size) > kMaxOrderBytes)
+      throw BadOperators({{0, "", "order file is larger than 64 KiB"}});
+    std::ifstream file(path);
+    std::stringstream content;
+    content << file.rdbuf();
+    apply_order(read_order(content.str()), now);
+  } catch (const std::exception& error) {
+    last_verdict_ = "unreadable";
+    log_.line("order_refused", "why=unreadable what=\"{}\"", error.what());
+  }
+}
+
+void VersionReporter::apply_order(const Order& order, double now) {
+  const auto verdict = service_.order(order, state_, WallTime::now(), now);
+  if (verdict == Verdict::known) return;
+  last_verdict_ = name(verdict);
+  if (verdict != Verdict::taken) {
+    log_.line("order_refused", "why={} term={} number={} step={} router={}", name(verdict), order.term,
+              order.number, name(order.step), order.router);
+    return;
+  }
+  log_.line("order", "term={} number={} step={} until={:.0f} why=\"{}\"", order.term, order.number,
+            name(order.step), order.until, order.why);
+  perform(order.step);
+}
+
+void VersionReporter::perform(Step step) {
+  switch (step) {
+    case Step::ask_again:
+      return callbacks_.request_full_list();
+    case Step::read_again:
+      return callbacks_.reload();
+    case Step::follow:
+      if (const auto at = read_endpoint(service_.last().agent)) callbacks_.follow_discovery(*at);
+      return;
+    default:  // the service keeps the state of the other steps
+      return;
+  }
+}
+
+VersionsView VersionReporter::view() const {
+  return {[this](double now) { return to_json(status(now)); }, &versions_, &identity_.verticals,
+          unix_at_zero_};
+}
+
+Stand VersionReporter::status(double now) const {
+  Stand s;
+  s.router = identity_.router;
+  s.site = identity_.site;
+  s.unix = now + unix_at_zero_;
+  s.began = versions_.began() + unix_at_zero_;
+  s.serving = serving_;
+  s.taking = service_.taking();
+  s.taking_since = service_.since() > 0 ? service_.since() + unix_at_zero_ : 0;
+  s.taking_why = service_.why();
+  s.term = service_.last().term;
+  s.number = service_.last().number;
+  s.verdict = last_verdict_;
+  s.site_lost = state_.site_lost;
+  for (std::size_t i = 0; i < kSubjects; ++i) {
+    s.by[i] = versions_.version(static_cast<Subject>(i));
+    s.by[i].told += unix_at_zero_;
+    s.by[i].acted += unix_at_zero_;
+  }
+  for (const auto& d : versions_.doubts())
+    s.doubts.push_back({std::string(name(d.kind)), d.since + unix_at_zero_, d.evidence,
+                        std::string(versions_.name_of(d.node))});
+  s.oldest = versions_.oldest();
+  s.open = versions_.number();
+  s.gap_until = versions_.gap_until() > 0 ? versions_.gap_until() + unix_at_zero_ : 0;
+  return s;
+}
+
+}  // namespace yoketurn
--- a/src/time/wall_deadline.hpp
+++ b/src/time/wall_deadline.hpp
@@ -1,4 +1,4 @@
-// A deadline that is told as wall-clock time and kept on the monotonic clock.
+// Converts a deadline given as wall-clock time to the monotonic clock.
 #pragma once
 
 #include <optional>
@@ -7,22 +7,22 @@
 
 namespace yoketurn {
 
-// What is left until the deadline is worked out when it is first told. It stays where it is, whatever steps
-// the wall clock makes later, also where the same deadline is told again; another one is worked out anew.
+// Converts the deadline when it is first given. The result doesn't move when the wall clock is stepped later,
+// even if the same deadline is given again; a different deadline is converted anew.
 class WallDeadline {
  public:
-  // The moment on the monotonic clock, in seconds.
-  double told(WallTime until, WallTime wall_now, double now) {
-    if (!known_ || known_->until != until) known_ = Known{until, now + span(wall_now, until)};
-    return known_->at;
+  // The deadline in seconds on the monotonic clock. `now` and `wall_now` are the same instant on the two clocks.
+  double to_monotonic(WallTime until, WallTime wall_now, double now) {
+    if (!converted_ || converted_->until != until) converted_ = Converted{until, now + seconds_between(wall_now, until)};
+    return converted_->monotonic_seconds;
   }
 
  private:
-  struct Known {
+  struct Converted {
     WallTime until;
-    double at;
+    double monotonic_seconds;
   };
-  std::optional<Known> known_;
+  std::optional<Converted> converted_;
 };
 
 }  // namespace yoketurn
--- a/src/time/wall_time.hpp
+++ b/src/time/wall_time.hpp
@@ -1,6 +1,6 @@
-// A point in time of the wall clock, which may be stepped at any moment. It is read for what other machines
-// tell by it, for logs and for files; deadlines, windows, waits and ages go by now() of queries/clock.hpp.
-// The type keeps the two apart: neither converts into the other.
+// A point in time of the wall clock, which may be stepped at any moment. Use it only for timestamps exchanged
+// with other hosts, for logs and for files; deadlines, windows, waits and ages use the monotonic now() of
+// queries/clock.hpp. This type doesn't convert from or to monotonic times, so that the two can't be mixed up.
 #pragma once
 
 #include <chrono>
@@ -16,8 +16,8 @@
   bool operator==(const WallTime&) const = default;
 };
 
-// Seconds from one to the other, negative where `to` is earlier.
-inline double span(WallTime from, WallTime to) {
+// Negative if `to` is earlier than `from`.
+inline double seconds_between(WallTime from, WallTime to) {
   return to.unix_seconds - from.unix_seconds;
 }
 
--- a/src/versions/service.cpp
+++ b/src/versions/service.cpp
@@ -59,7 +59,7 @@
     if (order.number == last_.number) return Verdict::known;
     if (order.number < last_.number) return Verdict::old_number;
   }
-  const auto left = span(wall_now, WallTime{order.until});
+  const auto left = seconds_between(wall_now, WallTime{order.until});
   if (left <= 0) return Verdict::lapsed;
   if (left > limits_.longest) return Verdict::too_long;
   const auto leaves = order.step == Step::step_aside || order.step == Step::shut_out;
--- a/tests/faults/faults_test.cpp
+++ b/tests/faults/faults_test.cpp
@@ -63,7 +63,7 @@
     thread_ = std::thread([this, &started, &plan, config] {
       Router router(context_, load_config(config), log_);
       router.start();
-      started.set_value(router.at());
+      started.set_value(router.client_endpoint());
       follow(&plan);
       while (!context_.stopped()) {
         try {
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -225,9 +225,9 @@
 }
 
 TEST_CASE("settings as nested JSON read as the wire's pairs do") {
-  const auto config = read_config(valid_config());
+  const auto config = parse_config(valid_config());
   CHECK(config.seed == 0x8c1f30d27a5be964);
-  CHECK(config.known.version == 4);
+  CHECK(config.initial_members.version == 4);
   REQUIRE(config.settings.verticals.size() == 3);
   CHECK(config.settings.verticals[1].effect == Effect::deduplicated);
   CHECK(config.settings.verticals[1].window == 2);
@@ -257,7 +257,7 @@
     CAPTURE(to);
     auto bad = valid_config();
     bad.replace(bad.find(from), std::string(from).size(), to);
-    CHECK_THROWS_AS(read_config(bad), Malformed);
+    CHECK_THROWS_AS(parse_config(bad), Malformed);
   }
 }
 
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <thread>
 
-#include "town.hpp"
+#include "test_cluster.hpp"
 
 using namespace yoketurn;
 using namespace yoketurn::test;
@@ -28,10 +28,10 @@
     R"({"whole":true,"results":[{"partition":1,"value":"q@1"},{"partition":2,"value":"q@2"}]})";
 
 // Enough parts that a tenth of them allows copies.
-void serve(Town& town, int many = 12) {
-  Client client(town);
+void serve(TestCluster& cluster, int many = 12) {
+  TestClient client(cluster);
   for (int i = 0; i < many; ++i) {
-    client.say(ask("look", {i % 8}, "w" + std::to_string(i)));
+    client.send(query_request("look", {i % 8}, "w" + std::to_string(i)));
     REQUIRE(client.answer() == 200);
   }
 }
@@ -41,49 +41,49 @@
 TEST_SUITE_BEGIN("router");
 
 TEST_CASE("a query is answered however its bytes arrive") {
-  Town town;
-  const auto whole = ask("look", {1, 2});
-  const auto body = targets({1, 2});
+  TestCluster cluster;
+  const auto whole = query_request("look", {1, 2});
+  const auto body = query_body({1, 2});
   const auto chunked = fmt::format(
       "POST /look/deep?x=1 HTTP/1.1\r\nX-Txn: t1\r\nX-Remaining: 4000000u\r\n"
       "Transfer-Encoding: chunked\r\n\r\n5\r\n{}\r\n{:x}\r\n{}\r\n0\r\n\r\n",
       body.substr(0, 5), body.size() - 5, body.substr(5));
-  Client client(town);
+  TestClient client(cluster);
   for (const auto& request : {whole, chunked, chunked + whole + whole}) {
-    client.say(request);
+    client.send(request);
     for (int i = request.size() > chunked.size() + 50 ? 3 : 1; i > 0; --i) {
       CHECK(client.answer() == 200);
       CHECK(client.body == kMerged);
     }
   }
   for (const auto byte : chunked) {
-    client.say({&byte, 1});
-    town.context.poll();
+    client.send({&byte, 1});
+    cluster.context.poll();
   }
   CHECK(client.answer() == 200);
   CHECK(client.body == kMerged);
-  client.say("GET /_health HTTP/1.1\r\n\r\n");
+  client.send("GET /_health HTTP/1.1\r\n\r\n");
   CHECK(client.answer() == 200);
-  client.say(
+  client.send(
       "POST /look HTTP/1.1\r\nExpect: 100-continue\r\nX-Txn: a\r\nX-Remaining: 4000m\r\nContent-Length: " +
       std::to_string(body.size()) + "\r\n\r\n");
-  REQUIRE(town.until([&] { return client.got.starts_with("HTTP/1.1 100 Continue\r\n\r\n"); }));
-  client.got.clear();
-  client.say(body);
+  REQUIRE(cluster.wait_until([&] { return client.received.starts_with("HTTP/1.1 100 Continue\r\n\r\n"); }));
+  client.received.clear();
+  client.send(body);
   CHECK(client.answer() == 200);
 }
 
 TEST_CASE("what the nodes are sent follows the protocol") {
-  Town town;
-  Client client(town);
-  client.say(ask("change", {5}, "9b1f"));
+  TestCluster cluster;
+  TestClient client(cluster);
+  client.send(query_request("change", {5}, "9b1f"));
   REQUIRE(client.answer() == 200);
-  client.say(ask("report", {1, 2, 3}, "7c"));
+  client.send(query_request("report", {1, 2, 3}, "7c"));
   REQUIRE(client.answer() == 200);
   CHECK(client.body ==
         R"({"whole":true,"results":[{"partition":3,"value":"q@3"},{"partition":2,"value":"q@2"}]})");
   std::map<std::string, DataNode::Part> sent;
-  for (const auto& node : town.nodes)
+  for (const auto& node : cluster.nodes)
     for (const auto& part : node->parts) sent[part.id] = part;
   CHECK(sent.size() == 6);
   CHECK(sent["9b1f.5"].shard == 5);
@@ -100,7 +100,7 @@
     int status;
     bool stays;
   };
-  const auto good = ask("look", {1, 2});
+  const auto good = query_request("look", {1, 2});
   const Row rows[] = {
       {"POST", "GET", 405, true},
       {"/look", "/other", 404, true},
@@ -133,43 +133,43 @@
       {"HTTP/1.1", "HTTP/9.1", 400, false},
       {"Host: h\r\n", "Host: " + std::string(9000, 'h') + "\r\n", 431, false},
   };
-  Town town;
+  TestCluster cluster;
   for (const auto& row : rows) {
     CAPTURE(row.to.substr(0, 40));
     auto request = good;
     REQUIRE(request.find(row.from) != std::string::npos);
     request.replace(request.find(row.from), row.from.size(), row.to);
-    Client client(town);
-    client.say(request);
+    TestClient client(cluster);
+    client.send(request);
     CHECK(client.answer() == row.status);
     if (row.stays) {
-      client.say("GET /_health HTTP/1.1\r\n\r\n");
+      client.send("GET /_health HTTP/1.1\r\n\r\n");
       CHECK(client.answer() == 200);
     } else {
-      CHECK(client.last.find("Connection: close") != std::string::npos);
+      CHECK(client.last_head.find("Connection: close") != std::string::npos);
       CHECK(client.ended());
     }
   }
-  CHECK(town.parts() == 0);
-  CHECK(town.logged("bad_request"));
+  CHECK(cluster.received_parts() == 0);
+  CHECK(cluster.logged("bad_request"));
 }
 
 TEST_CASE("a connection that brings no request in time is closed, one that has had an answer stays") {
-  Town town;
-  const auto whole = ask("look", {1, 2});
+  TestCluster cluster;
+  const auto whole = query_request("look", {1, 2});
   const std::string halves[] = {"", "P", "POST /look HTTP/1.1\r\nX-A:", whole.substr(0, whole.size() - 1)};
-  std::vector<std::unique_ptr<Client>> crowd;
-  Client usual(town), dribbler(town);
+  std::vector<std::unique_ptr<TestClient>> crowd;
+  TestClient usual(cluster), dribbler(cluster);
   const auto start = now();
   for (const auto& half : halves) {
-    crowd.push_back(std::make_unique<Client>(town));
-    crowd.back()->say(half);
+    crowd.push_back(std::make_unique<TestClient>(cluster));
+    crowd.back()->send(half);
   }
-  usual.say(whole);
+  usual.send(whole);
   CHECK(usual.answer() == 200);
-  for (std::size_t i = 0; !dribbler.closed && dribbler.got.empty() && i < whole.size(); ++i) {
-    dribbler.say({&whole[i], 1});
-    town.until([] { return false; }, 0.05);
+  for (std::size_t i = 0; !dribbler.closed && dribbler.received.empty() && i < whole.size(); ++i) {
+    dribbler.send({&whole[i], 1});
+    cluster.wait_until([] { return false; }, 0.05);
   }
   CHECK(dribbler.answer() == 408);
   for (const auto& client : crowd) {
@@ -177,18 +177,18 @@
     CHECK(client->ended());
   }
   CHECK(now() - start < 3);
-  CHECK(town.parts() == 2);
-  usual.say(whole);
+  CHECK(cluster.received_parts() == 2);
+  usual.send(whole);
   CHECK(usual.answer() == 200);
-  CHECK(town.parts() == 4);
+  CHECK(cluster.received_parts() == 4);
 }
 
 TEST_CASE("a body too large to keep is answered though the client sends on, and is not read to its end") {
   for (const auto* framing :
        {"Content-Length: 60000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3938700\r\n"}) {
-    Town town;
-    Client client(town);
-    client.say(std::string("POST /look HTTP/1.1\r\nX-Txn: a\r\nX-Remaining: 4000m\r\n") + framing);
+    TestCluster cluster;
+    TestClient client(cluster);
+    client.send(std::string("POST /look HTTP/1.1\r\nX-Txn: a\r\nX-Remaining: 4000m\r\n") + framing);
     const std::string body(60'000'000, ' ');
     std::size_t sent = 0;
     bool refused = false;
@@ -197,41 +197,42 @@
       refused = bool(error);
     });
     CHECK(client.ended());
-    CHECK(town.until([&] { return refused; }));
+    CHECK(cluster.wait_until([&] { return refused; }));
     CHECK(sent < body.size());
   }
 }
 
 TEST_CASE("the id of an open query is refused, whosever it is, and the first one goes on") {
-  Town town;
+  TestCluster cluster;
   std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
-  town.each_node([&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
-  Client first(town), second(town);
-  first.say(ask("look", {1}));
-  REQUIRE(town.until([&] { return held.size() == 1; }));
-  second.say(ask("change", {1}));
+  cluster.set_part_handler(
+      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+  TestClient first(cluster), second(cluster);
+  first.send(query_request("look", {1}));
+  REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
+  second.send(query_request("change", {1}));
   CHECK(second.answer() == 409);
   CHECK(held.size() == 1);
   DataNode::answer(*held[0].second, held[0].first, "done", 1, "v");
   CHECK(first.answer() == 200);
-  second.say(ask("look", {1}));
-  REQUIRE(town.until([&] { return held.size() == 2; }));
+  second.send(query_request("look", {1}));
+  REQUIRE(cluster.wait_until([&] { return held.size() == 2; }));
 }
 
 TEST_CASE("a copy wins, and the loser is given up") {
-  Town town;
-  serve(town);
+  TestCluster cluster;
+  serve(cluster);
   const DataNode* silent = nullptr;
-  for (const auto& node : town.nodes)
+  for (const auto& node : cluster.nodes)
     node->on_part = [&, usual = node->on_part, me = node.get()](const auto& part, auto& from) {
       if (silent == nullptr) silent = me;
       if (me != silent) usual(part, from);
     };
-  Client client(town);
-  client.say(ask("look", {1}));
+  TestClient client(cluster);
+  client.send(query_request("look", {1}));
   CHECK(client.answer() == 200);
   REQUIRE(silent != nullptr);
-  CHECK(town.until([&] { return silent->given_up == std::vector<std::string>{"t1.1"}; }));
+  CHECK(cluster.wait_until([&] { return silent->given_up == std::vector<std::string>{"t1.1"}; }));
 }
 
 TEST_CASE("how a node fails a part, and what becomes of its query") {
@@ -286,16 +287,16 @@
     CAPTURE(row.what);
     for (const char* vertical : {"look", "change"}) {
       CAPTURE(vertical);
-      Town town;
+      TestCluster cluster;
       bool failed = false;
-      for (const auto& node : town.nodes)
+      for (const auto& node : cluster.nodes)
         node->on_part = [&, usual = node->on_part](const auto& part, auto& from) {
           if (std::exchange(failed, true)) return usual(part, from);
           row.act(part, from);
         };
-      Client client(town);
+      TestClient client(cluster);
       const auto start = now();
-      client.say(ask(vertical, {1}));
+      client.send(query_request(vertical, {1}));
       CHECK(client.answer() == row.change);
       CHECK(now() - start < 0.9);  // as soon as it is known, not when the call's time is over
       CHECK(client.body == R"({"whole":true,"results":[{"partition":1,"value":"q@1"}]})");
@@ -311,17 +312,17 @@
       [](const auto&, const auto& id) { return frame('R', id + " done 1\nq@1"); },
   };
   for (const auto& say : more) {
-    Town town(1);
+    TestCluster cluster(1);
     for (int i = 0; i < 3; ++i) {
-      town.nodes[0]->on_part = [&](const auto& part, auto& from) {
+      cluster.nodes[0]->on_part = [&](const auto& part, auto& from) {
         from.say(say(frame('R', part.id + " done 1 -\nq@1"), part.id));
       };
-      Client client(town);
-      client.say(ask("look", {1}, "t" + std::to_string(i)));
+      TestClient client(cluster);
+      client.send(query_request("look", {1}, "t" + std::to_string(i)));
       CHECK(client.answer() == 200);
       CHECK(client.body == R"({"whole":true,"results":[{"partition":1,"value":"q@1"}]})");
     }
-    CHECK(town.parts() == 3);
+    CHECK(cluster.received_parts() == 3);
   }
 }
 
@@ -329,260 +330,263 @@
   const auto length = frame('R', "t0.1 done 1 -\nq@1").size();
   for (std::size_t cut = 1; cut < length; ++cut) {
     CAPTURE(cut);
-    Town town(1);
+    TestCluster cluster(1);
     int spoil = 2;  // the first part waits for good, the second one is cut
-    town.nodes[0]->on_part = [&, usual = town.nodes[0]->on_part](const auto& part, auto& from) {
+    cluster.nodes[0]->on_part = [&, usual = cluster.nodes[0]->on_part](const auto& part, auto& from) {
       if (spoil > 0 && --spoil == 0) from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, cut));
       if (spoil == 0 && part.id.starts_with("n")) usual(part, from);
     };
-    Client first(town), second(town);
+    TestClient first(cluster), second(cluster);
     const auto start = now();
-    first.say(ask("change", {1}, "t0"));
-    REQUIRE(town.until([&] { return town.parts() == 1; }));
-    second.say(ask("change", {1}, "t1"));
-    REQUIRE(town.until([&] { return town.nodes[0]->open() == 0; }));
+    first.send(query_request("change", {1}, "t0"));
+    REQUIRE(cluster.wait_until([&] { return cluster.received_parts() == 1; }));
+    second.send(query_request("change", {1}, "t1"));
+    REQUIRE(cluster.wait_until([&] { return cluster.nodes[0]->open() == 0; }));
     CHECK(now() - start < 0.6);
-    CHECK(first.got.empty());
-    CHECK(second.got.empty());
+    CHECK(first.received.empty());
+    CHECK(second.received.empty());
   }
 }
 
 TEST_CASE("a query that no node answers ends before its client's time, and says what is harmless") {
   for (const auto& [vertical, status] : {std::pair("look", 503), std::pair("change", 500)}) {
-    Town town;
-    town.each_node([](const auto&, auto&) {});
-    Client client(town);
+    TestCluster cluster;
+    cluster.set_part_handler([](const auto&, auto&) {});
+    TestClient client(cluster);
     const auto start = now();
-    client.say(ask(vertical, {1}, "t1", "600m"));
+    client.send(query_request(vertical, {1}, "t1", "600m"));
     CHECK(client.answer() == status);
     CHECK(now() - start < 0.65);
-    CHECK((client.last.find("Retry-After: 0.5") != std::string::npos) == (status == 503));
-    CHECK(town.logged(status == 503 ? " rejected query=t1" : " aborted query=t1"));
+    CHECK((client.last_head.find("Retry-After: 0.5") != std::string::npos) == (status == 503));
+    CHECK(cluster.logged(status == 503 ? " rejected query=t1" : " aborted query=t1"));
   }
 }
 
 TEST_CASE("a late answer to a call that was given up counts for no other, and the connection goes on") {
-  Town town(1);
-  serve(town, 2);
+  TestCluster cluster(1);
+  serve(cluster, 2);
   std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
-  town.each_node([&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+  cluster.set_part_handler(
+      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
   {
-    Client client(town);
-    client.say(ask("look", {1}, "t5"));
-    REQUIRE(town.until([&] { return held.size() == 1; }));
+    TestClient client(cluster);
+    client.send(query_request("look", {1}, "t5"));
+    REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
   }  // the client is gone
-  Client client(town);
-  client.say(ask("look", {1}, "t5"));  // the same part again, under the same name
-  REQUIRE(town.until([&] { return held.size() == 2; }));
+  TestClient client(cluster);
+  client.send(query_request("look", {1}, "t5"));  // the same part again, under the same name
+  REQUIRE(cluster.wait_until([&] { return held.size() == 2; }));
   CHECK(held[0].second != held[1].second);
   DataNode::answer(*held[0].second, held[0].first, "done", 1, "late");
-  for (int i = 0; i < 20; ++i) town.context.run_one_for(std::chrono::milliseconds(5));
-  CHECK(client.got.empty());
+  for (int i = 0; i < 20; ++i) cluster.context.run_one_for(std::chrono::milliseconds(5));
+  CHECK(client.received.empty());
   DataNode::answer(*held[1].second, held[1].first, "done", 1, "right");
   CHECK(client.answer() == 200);
   CHECK(client.body.find("right") != std::string::npos);
 }
 
 TEST_CASE("a connection that stays silent takes no new calls after one was given up on it") {
-  Town town(1);
-  REQUIRE(town.until([&] { return town.nodes[0]->accepted() == 1; }));  // ahead of any part
-  serve(town, 2);
-  CHECK(town.nodes[0]->accepted() == 1);
+  TestCluster cluster(1);
+  REQUIRE(cluster.wait_until([&] { return cluster.nodes[0]->accepted() == 1; }));  // ahead of any part
+  serve(cluster, 2);
+  CHECK(cluster.nodes[0]->accepted() == 1);
   int silent = 1;
-  town.nodes[0]->on_part = [&, usual = town.nodes[0]->on_part](const auto& part, auto& from) {
+  cluster.nodes[0]->on_part = [&, usual = cluster.nodes[0]->on_part](const auto& part, auto& from) {
     if (silent-- <= 0) usual(part, from);
   };
-  Client client(town);
-  client.say(ask("look", {1}, "t1", "200m"));
+  TestClient client(cluster);
+  client.send(query_request("look", {1}, "t1", "200m"));
   CHECK(client.answer() == 503);
-  CHECK(town.until([&] { return town.nodes[0]->accepted() == 2; }));  // ahead of the next part
+  CHECK(cluster.wait_until([&] { return cluster.nodes[0]->accepted() == 2; }));  // ahead of the next part
   const auto again = [&] {  // the module lets the node rest for a while
-    client.say(ask("look", {1}, "t2"));
+    client.send(query_request("look", {1}, "t2"));
     return client.answer() == 200;
   };
-  CHECK(town.until(again));
-  CHECK(town.nodes[0]->accepted() == 2);
+  CHECK(cluster.wait_until(again));
+  CHECK(cluster.nodes[0]->accepted() == 2);
 }
 
 TEST_CASE("nodes come and go by the list, a lost watch is opened again, nonsense leaves the last good list") {
-  Town town;
-  Client client(town);
+  TestCluster cluster;
+  TestClient client(cluster);
   const auto answers = [&](int status) {
-    client.say(ask("look", {1, 2}));
+    client.send(query_request("look", {1, 2}));
     CHECK(client.answer() == status);
   };
   answers(200);
-  town.discovery.break_off();
-  REQUIRE(town.until([&] { return town.discovery.asked.size() == 2; }));
-  CHECK(town.discovery.asked[1].find("since=1") != std::string::npos);
+  cluster.discovery.break_off();
+  REQUIRE(cluster.wait_until([&] { return cluster.discovery.asked.size() == 2; }));
+  CHECK(cluster.discovery.asked[1].find("since=1") != std::string::npos);
   answers(200);
-  town.discovery.tell(R"({"version":9,"full":true,"servers":[{"id":7}]})");
-  REQUIRE(town.until([&] { return town.discovery.asked.size() == 3; }));
-  CHECK(town.discovery.asked[2].find("since") == std::string::npos);
-  CHECK(town.logged("list_unusable"));
+  cluster.discovery.tell(R"({"version":9,"full":true,"servers":[{"id":7}]})");
+  REQUIRE(cluster.wait_until([&] { return cluster.discovery.asked.size() == 3; }));
+  CHECK(cluster.discovery.asked[2].find("since") == std::string::npos);
+  CHECK(cluster.logged("list_unusable"));
   answers(200);
-  const auto old = town.parts();
+  const auto old = cluster.received_parts();
   std::vector<std::string> gone;
   for (int i = 0; i < 3; ++i)
-    gone.push_back(toy::Discovery::entry("s-" + std::to_string(i), town.nodes[0]->at(), i,
+    gone.push_back(toy::Discovery::entry("s-" + std::to_string(i), cluster.nodes[0]->at(), i,
                                          i == 0 ? "gone" : "draining"));
-  town.discovery.tell(toy::Discovery::list(10, false, gone));
-  REQUIRE(town.until([&] { return town.logged("version=10"); }));
+  cluster.discovery.tell(toy::Discovery::list(10, false, gone));
+  REQUIRE(cluster.wait_until([&] { return cluster.logged("version=10"); }));
   answers(503);
-  CHECK(town.parts() == old);
-  town.discovery.tell(town.list(11, true));
-  REQUIRE(town.until([&] { return town.logged("version=11"); }));
+  CHECK(cluster.received_parts() == old);
+  cluster.discovery.tell(cluster.list(11, true));
+  REQUIRE(cluster.wait_until([&] { return cluster.logged("version=11"); }));
   answers(200);
-  town.discovery.stop();  // the agent is away: the list stands
-  REQUIRE(town.until([&] { return town.logged("Connection refused"); }));
+  cluster.discovery.stop();  // the agent is away: the list stands
+  REQUIRE(cluster.wait_until([&] { return cluster.logged("Connection refused"); }));
   answers(200);
 }
 
 TEST_CASE("told to stop, it serves the connections it has until its time is nearly up, then ends") {
-  Town town;
+  TestCluster cluster;
   std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
-  const auto answering = town.nodes[0]->on_part;
+  const auto answering = cluster.nodes[0]->on_part;
   const auto holding = [&](const auto& part, auto& from) {
     held.emplace_back(part, from.shared_from_this());
   };
-  town.each_node(holding);
-  Client early(town), kept(town), idle(town);
-  early.say(ask("look", {1}));
-  REQUIRE(town.until([&] { return held.size() == 1; }));
-  town.router->drain();
+  cluster.set_part_handler(holding);
+  TestClient early(cluster), kept(cluster), idle(cluster);
+  early.send(query_request("look", {1}));
+  REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
+  cluster.router->drain();
   const auto told = now();
-  kept.say("GET /_health HTTP/1.1\r\n\r\n");
+  kept.send("GET /_health HTTP/1.1\r\n\r\n");
   CHECK(kept.answer() == 503);
-  Client late(town);
-  late.say(ask("look", {2}, "t2"));
-  REQUIRE(town.until([&] { return held.size() == 2; }));
+  TestClient late(cluster);
+  late.send(query_request("look", {2}, "t2"));
+  REQUIRE(cluster.wait_until([&] { return held.size() == 2; }));
   for (auto& [part, from] : held) DataNode::answer(*from, part, "done", 1, "v");
   CHECK(early.answer() == 200);
   CHECK(late.answer() == 200);
-  town.each_node(answering);
+  cluster.set_part_handler(answering);
   for (int i = 0; now() < told + 1.5; ++i) {
-    kept.say(ask("look", {i % 8}, "k" + std::to_string(i)));
+    kept.send(query_request("look", {i % 8}, "k" + std::to_string(i)));
     REQUIRE(kept.answer() == 200);
-    CHECK(kept.last.find("Connection: close") == std::string::npos);
-    town.until([] { return false; }, 0.1);
+    CHECK(kept.last_head.find("Connection: close") == std::string::npos);
+    cluster.wait_until([] { return false; }, 0.1);
   }
-  town.each_node(holding);
-  kept.say(ask("change", {3}, "t3", "4000m"));
+  cluster.set_part_handler(holding);
+  kept.send(query_request("change", {3}, "t3", "4000m"));
   CHECK(idle.ended());
-  CHECK(town.router->phase() == Router::Phase::draining);
+  CHECK(cluster.router->phase() == Router::Phase::draining);
   CHECK(kept.answer() == 500);  // no node answers it: it is told before SIGKILL can come
   CHECK(now() - told < 3.7);
   CHECK(now() - told > 3);
-  CHECK(kept.last.find("Connection: close") != std::string::npos);
+  CHECK(kept.last_head.find("Connection: close") != std::string::npos);
   CHECK(kept.ended());
-  CHECK(town.until([&] { return town.router->phase() == Router::Phase::stopped; }));
+  CHECK(cluster.wait_until([&] { return cluster.router->phase() == Router::Phase::stopped; }));
 }
 
 TEST_CASE("a full table refuses by the module's rules and takes queries again once it has room") {
-  Town town(3, 1024, 4);
+  TestCluster cluster(3, 1024, 4);
   std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
-  town.each_node([&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
-  Client first(town), second(town);
-  first.say(ask("look", {1, 2, 3}));
-  REQUIRE(town.until([&] { return held.size() == 3; }));
-  second.say(ask("change", {4}, "t2"));
+  cluster.set_part_handler(
+      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+  TestClient first(cluster), second(cluster);
+  first.send(query_request("look", {1, 2, 3}));
+  REQUIRE(cluster.wait_until([&] { return held.size() == 3; }));
+  second.send(query_request("change", {4}, "t2"));
   CHECK(second.answer() == 503);
   CHECK(held.size() == 3);
   for (auto& [part, from] : held) DataNode::answer(*from, part, "done", 1, "v");
   CHECK(first.answer() == 200);
-  second.say(ask("change", {4}, "t3"));
-  REQUIRE(town.until([&] { return held.size() == 4; }));
+  second.send(query_request("change", {4}, "t3"));
+  REQUIRE(cluster.wait_until([&] { return held.size() == 4; }));
 }
 
 TEST_CASE("at the bound of connections the oldest that holds no request makes room") {
-  Town town(3, 64);  // half of what is left of them for nodes: 24 clients
-  std::vector<std::unique_ptr<Client>> crowd;
+  TestCluster cluster(3, 64);  // half of what is left of them for nodes: 24 clients
+  std::vector<std::unique_ptr<TestClient>> crowd;
   for (int i = 0; i < 60; ++i) {
-    crowd.push_back(std::make_unique<Client>(town));
-    crowd.back()->say(i % 2 == 0 ? "POST /look HTTP/1.1\r\n" : "GET /_health HTTP/1.1\r\n\r\n");
+    crowd.push_back(std::make_unique<TestClient>(cluster));
+    crowd.back()->send(i % 2 == 0 ? "POST /look HTTP/1.1\r\n" : "GET /_health HTTP/1.1\r\n\r\n");
     if (i % 2 == 1) CHECK(crowd.back()->answer() == 200);
   }
-  Client client(town);
-  client.say(ask("look", {1, 2}));
+  TestClient client(cluster);
+  client.send(query_request("look", {1, 2}));
   CHECK(client.answer() == 200);
-  CHECK(town.logged("client_room"));
+  CHECK(cluster.logged("client_room"));
 }
 
 TEST_CASE("a crowd that only connects does not push out a client that is at work") {
-  Town town(3, 64);
-  Client usual(town);
-  std::vector<std::unique_ptr<Client>> crowd;
+  TestCluster cluster(3, 64);
+  TestClient usual(cluster);
+  std::vector<std::unique_ptr<TestClient>> crowd;
   for (int round = 0; round < 8; ++round) {
-    usual.say(ask("look", {1, 2}));
+    usual.send(query_request("look", {1, 2}));
     REQUIRE(usual.answer() == 200);
-    for (int i = 0; i < 10; ++i) crowd.push_back(std::make_unique<Client>(town));
-    town.until([&] { return usual.closed; }, 0.3);
+    for (int i = 0; i < 10; ++i) crowd.push_back(std::make_unique<TestClient>(cluster));
+    cluster.wait_until([&] { return usual.closed; }, 0.3);
   }
   CHECK(!usual.closed);
 }
 
 TEST_CASE("a node that restarts or moves is reached by new connections") {
-  Town town(1);
-  serve(town, 2);
-  auto entry = toy::Discovery::entry("s-0", town.nodes[0]->at(), 0);
+  TestCluster cluster(1);
+  serve(cluster, 2);
+  auto entry = toy::Discovery::entry("s-0", cluster.nodes[0]->at(), 0);
   entry.replace(entry.find("started_ms\":0"), 13, "started_ms\":1700000000000");
-  town.discovery.tell(toy::Discovery::list(2, false, {entry}));
-  REQUIRE(town.until([&] { return town.logged("version=2"); }));
-  serve(town, 1);
-  CHECK(town.nodes[0]->accepted() == 2);
-  DataNode other(town.context);
-  town.discovery.tell(toy::Discovery::list(3, false, {toy::Discovery::entry("s-0", other.at(), 0)}));
-  REQUIRE(town.until([&] { return town.logged("version=3"); }));
-  serve(town, 1);
+  cluster.discovery.tell(toy::Discovery::list(2, false, {entry}));
+  REQUIRE(cluster.wait_until([&] { return cluster.logged("version=2"); }));
+  serve(cluster, 1);
+  CHECK(cluster.nodes[0]->accepted() == 2);
+  DataNode other(cluster.context);
+  cluster.discovery.tell(toy::Discovery::list(3, false, {toy::Discovery::entry("s-0", other.at(), 0)}));
+  REQUIRE(cluster.wait_until([&] { return cluster.logged("version=3"); }));
+  serve(cluster, 1);
   CHECK(other.parts.size() == 1);
 }
 
 TEST_CASE("an idle connection is closed before the node would do it, one with a call out is not") {
-  Town town(1, 1024, 200, 0.6);
-  serve(town, 1);
-  CHECK(town.nodes[0]->open() == 1);
+  TestCluster cluster(1, 1024, 200, 0.6);
+  serve(cluster, 1);
+  CHECK(cluster.nodes[0]->open() == 1);
   const auto start = now();
-  REQUIRE(town.until([&] { return town.nodes[0]->open() == 0; }));
+  REQUIRE(cluster.wait_until([&] { return cluster.nodes[0]->open() == 0; }));
   CHECK(now() - start < 0.6);
   std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
-  town.each_node([&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
-  Client client(town);
-  client.say(ask("change", {1}));
-  CHECK(!town.until([&] { return town.nodes[0]->open() == 0 && !held.empty(); }, 0.8));
+  cluster.set_part_handler(
+      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+  TestClient client(cluster);
+  client.send(query_request("change", {1}));
+  CHECK(!cluster.wait_until([&] { return cluster.nodes[0]->open() == 0 && !held.empty(); }, 0.8));
   DataNode::answer(*held.at(0).second, held[0].first, "done", 1, "v");
   CHECK(client.answer() == 200);
 }
 
 TEST_CASE("a watch that falls silent is opened again, and the list stands meanwhile") {
-  Town town;
-  town.discovery.silent = true;
-  REQUIRE(town.until([&] { return town.discovery.asked.size() == 2; }));
-  CHECK(town.logged("watch_lost why=\"silence\""));
-  serve(town, 1);
+  TestCluster cluster;
+  cluster.discovery.silent = true;
+  REQUIRE(cluster.wait_until([&] { return cluster.discovery.asked.size() == 2; }));
+  CHECK(cluster.logged("watch_lost why=\"silence\""));
+  serve(cluster, 1);
 }
 
 // Stopped between two steps of its loop, the router went on with the second: by the clock its watch was
 // silent, and it left it with a drain unread in it. For half a second it sent to the drained node.
 TEST_CASE("a router that stood still reads what came meanwhile before it goes by the clock") {
-  Town town;
-  serve(town);
+  TestCluster cluster;
+  serve(cluster);
   auto posted = false;
-  boost::asio::post(town.context, [&] {
-    town.discovery.tell(
-        toy::Discovery::list(2, false, {toy::Discovery::entry("s-0", town.nodes[0]->at(), 0, "draining")}));
+  boost::asio::post(cluster.context, [&] {
+    cluster.discovery.tell(toy::Discovery::list(
+        2, false, {toy::Discovery::entry("s-0", cluster.nodes[0]->at(), 0, "draining")}));
     std::this_thread::sleep_for(std::chrono::milliseconds(3400));
-    town.router->drain();  // its next step: all clients are served on
+    cluster.router->drain();  // its next step: all clients are served on
     posted = true;
   });
-  REQUIRE(town.until([&] { return posted && town.logged("version=2"); }));
-  CHECK(!town.logged("watch_lost"));
-  CHECK(town.discovery.asked.size() == 1);
+  REQUIRE(cluster.wait_until([&] { return posted && cluster.logged("version=2"); }));
+  CHECK(!cluster.logged("watch_lost"));
+  CHECK(cluster.discovery.asked.size() == 1);
 }
 
 TEST_CASE("a standstill is told by the time between two turns, and is over once all is read") {
   struct Row {
     std::vector<std::pair<double, bool>> turns;  // when, and whether something lies there unread
-    std::vector<bool> holds;
+    std::vector<bool> reads_first;
   };
   const Row rows[] = {
       {{{10, true}, {10.1, true}, {10.3, true}}, {false, false, false}},  // usual turns
@@ -595,34 +599,35 @@
        {false, true, true, false}},  // stopped once more
   };
   for (const auto& row : rows) {
-    Standstill still(0.25);
+    StandstillDetector detector(0.25);
     for (std::size_t i = 0; i < row.turns.size(); ++i) {
       CAPTURE(row.turns[i].first);
-      CHECK(still.holds(row.turns[i].first, [&] { return row.turns[i].second; }) == row.holds[i]);
+      CHECK(detector.must_read_first(row.turns[i].first, [&] { return row.turns[i].second; }) ==
+            row.reads_first[i]);
     }
   }
 }
 
 TEST_CASE("twenty-five thousand names of nodes pass, and the last ones are as good as the first") {
-  Town town(3, 64);
+  TestCluster cluster(3, 64);
   for (int version = 2; version <= 7; ++version) {
     std::vector<std::string> entries;
     for (int i = 0; i < 5000; ++i)
       entries.push_back(
-          toy::Discovery::entry(fmt::format("s-{}-{}", version, i), town.nodes[0]->at(), i % 3));
-    town.discovery.tell(toy::Discovery::list(version, true, entries));
-    REQUIRE(town.until([&] { return town.logged(fmt::format("version={} ", version)); }));
-    town.until([] { return false; }, 0.2);  // the next tick lets the former ones go
-    Client client(
-        town);  // a connection has 2.25 s for its request, and a slow machine reads such a list for longer
-    client.say(ask("look", {1, 2, 3}, "t" + std::to_string(version)));
+          toy::Discovery::entry(fmt::format("s-{}-{}", version, i), cluster.nodes[0]->at(), i % 3));
+    cluster.discovery.tell(toy::Discovery::list(version, true, entries));
+    REQUIRE(cluster.wait_until([&] { return cluster.logged(fmt::format("version={} ", version)); }));
+    cluster.wait_until([] { return false; }, 0.2);  // the next tick lets the former ones go
+    TestClient client(
+        cluster);  // a connection has 2.25 s for its request, and a slow machine reads such a list for longer
+    client.send(query_request("look", {1, 2, 3}, "t" + std::to_string(version)));
     CHECK(client.answer() == 200);
   }
-  CHECK(!town.logged("node_unknown"));
-  town.discovery.tell(town.list(8, true));
-  REQUIRE(town.until([&] { return town.logged("version=8 "); }));
-  for (int i = 0; i < 50 && town.nodes[2]->parts.empty(); ++i) serve(town);
-  CHECK(!town.nodes[2]->parts.empty());
+  CHECK(!cluster.logged("node_unknown"));
+  cluster.discovery.tell(cluster.list(8, true));
+  REQUIRE(cluster.wait_until([&] { return cluster.logged("version=8 "); }));
+  for (int i = 0; i < 50 && cluster.nodes[2]->parts.empty(); ++i) serve(cluster);
+  CHECK(!cluster.nodes[2]->parts.empty());
 }
 
 namespace {
@@ -648,22 +653,22 @@
 TEST_CASE("one build serves either shape, by its settings alone") {
   for (const bool moved : {false, true}) {
     CAPTURE(moved);
-    Town town(3, 1024, 200, 15, "",
-              [&](std::string text) { return moved ? with(std::move(text), kNewShape) : text; });
+    TestCluster cluster(3, 1024, 200, 15, "",
+                        [&](std::string text) { return moved ? with(std::move(text), kNewShape) : text; });
     std::vector<std::set<int>> shards(3);
     for (std::size_t i = 0; i < 3; ++i)
-      town.nodes[i]->on_part = [&, i](const auto& part, auto& from) {
+      cluster.nodes[i]->on_part = [&, i](const auto& part, auto& from) {
         shards[i].insert(part.shard);
         DataNode::answer(from, part, "done", 1, "v");
       };
-    Client client(town);
+    TestClient client(cluster);
     for (int i = 0; i < 12; ++i) {
-      client.say(ask("look", {i % 8, (i + 1) % 8}, "q" + std::to_string(i)));
+      client.send(query_request("look", {i % 8, (i + 1) % 8}, "q" + std::to_string(i)));
       CHECK(client.answer() == 200);
     }
     for (std::size_t i = 0; moved && i < 3; ++i)
       for (const auto shard : shards[i]) CHECK(shard % 3 == static_cast<int>(i));
-    CHECK(town.logged("left_out key=bounds.peer_messages") == moved);
+    CHECK(cluster.logged("left_out key=bounds.peer_messages") == moved);
   }
 }
 
@@ -695,73 +700,77 @@
        "contract.budget_share is '"},
       {{{"\"whole_at\":[1.0,1.0,1.0]", "\"whole_at\":[0.5,1.0,1.0]"}}, "domain.min_share is '1"},
   };
-  Town town;
-  const auto good = toy::config(kAnyPort, town.discovery.at(), 3, town.discovery.whole);
+  TestCluster cluster;
+  const auto good = toy::config(kAnyPort, cluster.discovery.at(), 3, cluster.discovery.whole);
   for (const auto& row : rows) {
     CAPTURE(row.why);
     const auto bad = with(good, row.changes);
     std::string said;
     try {
-      read_config(bad);
+      parse_config(bad);
     } catch (const Malformed& error) {
       said = error.what();
     }
     CHECK(said.starts_with(row.why));
-    town.configure(bad);
+    cluster.write_config(bad);
     std::raise(SIGHUP);
-    CHECK(town.until([&] { return town.logged("reload_failed why=\"" + row.why); }));
+    CHECK(cluster.wait_until([&] { return cluster.logged("reload_failed why=\"" + row.why); }));
   }
-  town.each_node([](const auto& part, auto& from) { DataNode::answer(from, part, "done", 1, "v"); });
-  Client client(town);
-  client.say(ask("look", {1}));
+  cluster.set_part_handler(
+      [](const auto& part, auto& from) { DataNode::answer(from, part, "done", 1, "v"); });
+  TestClient client(cluster);
+  client.send(query_request("look", {1}));
   CHECK(client.answer() == 200);
 }
 
 TEST_CASE("SIGHUP: a new discovery is followed with queries in hand, a broken file changes nothing") {
-  Town town;
+  TestCluster cluster;
   std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
-  town.each_node([&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
-  Client client(town);
-  client.say(ask("look", {1}));
-  REQUIRE(town.until([&] { return held.size() == 1; }));
+  cluster.set_part_handler(
+      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+  TestClient client(cluster);
+  client.send(query_request("look", {1}));
+  REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
   const auto config = [&](const toy::Discovery& at) {
-    return toy::config(kAnyPort, at.at(), 3, town.discovery.whole);
+    return toy::config(kAnyPort, at.at(), 3, cluster.discovery.whole);
   };
-  const auto good = config(town.discovery);
+  const auto good = config(cluster.discovery);
   const std::pair<std::string, const char*> broken[] = {
       {good.substr(0, good.size() / 2), "why=\"the configuration is no"}, {"{}", "why=\"name is missing"}};
   for (const auto& [text, why] : broken) {
-    town.configure(text);
+    cluster.write_config(text);
     std::raise(SIGHUP);
-    REQUIRE(town.until([&] { return town.logged(why); }));
+    REQUIRE(cluster.wait_until([&] { return cluster.logged(why); }));
   }
-  town.discovery.tell(town.list(2, true));
-  REQUIRE(town.until([&] { return town.logged("version=2"); }));
+  cluster.discovery.tell(cluster.list(2, true));
+  REQUIRE(cluster.wait_until([&] { return cluster.logged("version=2"); }));
   // The new agent counts its versions from anew, and lacks two of the nodes.
-  toy::Discovery first(town.context), second(town.context);
-  const auto entry = toy::Discovery::entry("s-0", town.nodes[0]->at(), 0);
+  toy::Discovery first(cluster.context), second(cluster.context);
+  const auto entry = toy::Discovery::entry("s-0", cluster.nodes[0]->at(), 0);
   first.whole = second.whole = toy::Discovery::list(1, true, {entry});
-  town.configure(config(first));
+  cluster.write_config(config(first));
   std::raise(SIGHUP);
   std::raise(SIGHUP);
-  REQUIRE(town.until([&] { return first.asked.size() == 1; }));
+  REQUIRE(cluster.wait_until([&] { return first.asked.size() == 1; }));
   CHECK(first.asked[0].find("since") == std::string::npos);
-  town.configure(config(second));
+  cluster.write_config(config(second));
   std::raise(SIGHUP);
-  REQUIRE(town.until([&] { return town.logged("entries=1 ready=1") && second.asked.size() == 1; }));
-  CHECK(town.until([&] { return town.discovery.open() + first.open() == 0; }));
+  REQUIRE(
+      cluster.wait_until([&] { return cluster.logged("entries=1 ready=1") && second.asked.size() == 1; }));
+  CHECK(cluster.wait_until([&] { return cluster.discovery.open() + first.open() == 0; }));
   CHECK(held.size() == 1);
   DataNode::answer(*held[0].second, held[0].first, "done", 1, "v");
   CHECK(client.answer() == 200);
-  town.discovery.stop();
-  const auto last = town.nodes[0]->parts.size();
-  town.each_node([](const auto& part, auto& from) { DataNode::answer(from, part, "done", 1, "v"); });
+  cluster.discovery.stop();
+  const auto last = cluster.nodes[0]->parts.size();
+  cluster.set_part_handler(
+      [](const auto& part, auto& from) { DataNode::answer(from, part, "done", 1, "v"); });
   for (int i = 0; i < 6; ++i) {
-    client.say(ask("look", {i}, "n" + std::to_string(i)));
+    client.send(query_request("look", {i}, "n" + std::to_string(i)));
     CHECK(client.answer() == 200);
   }
-  CHECK(town.nodes[0]->parts.size() == last + 6);
-  town.router->drain();
+  CHECK(cluster.nodes[0]->parts.size() == last + 6);
+  cluster.router->drain();
   std::raise(SIGHUP);
-  CHECK(town.until([&] { return town.router->phase() == Router::Phase::stopped; }));
+  CHECK(cluster.wait_until([&] { return cluster.router->phase() == Router::Phase::stopped; }));
 }
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -42,7 +42,7 @@
   return text;
 }
 
-struct Town {
+struct TestCluster {
   struct Attempt {
     int node = 0;
     bool done = false;
@@ -204,11 +204,11 @@
 TEST_SUITE_BEGIN("stream");
 
 TEST_CASE("a recorded town gets the same replies, byte for byte") {
-  Town town;
-  const auto replies = town.run(60);
+  TestCluster cluster;
+  const auto replies = cluster.run(60);
   if (const char* path = std::getenv("YOKETURN_STREAM")) std::ofstream(path) << replies;
-  CHECK(town.log.str() == "");
-  CHECK(town.outcomes > 10'000);
+  CHECK(cluster.log.str() == "");
+  CHECK(cluster.outcomes > 10'000);
   boost::crc_32_type sum;
   sum.process_bytes(replies.data(), replies.size());
   CHECK(sum.checksum() == 2243886781u);
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -7,7 +7,7 @@
 #include <map>
 
 #include "operators/operators.hpp"
-#include "router/standing.hpp"
+#include "router/version_reporter.hpp"
 #include "versions/orders.hpp"
 #include "versions/record.hpp"
 #include "versions/service.hpp"
--- a/tests/wall_deadline_test.cpp
+++ b/tests/wall_deadline_test.cpp
@@ -17,9 +17,9 @@
   for (const auto step : kSteps) {
     CAPTURE(step);
     WallDeadline deadline;
-    CHECK(deadline.told(WallTime{1010}, WallTime{1000}, 50) == 60);
-    CHECK(deadline.told(WallTime{1010}, WallTime{1004 + step}, 54) == 60);
-    CHECK(deadline.told(WallTime{1030 + step}, WallTime{1004 + step}, 54) == 80);
+    CHECK(deadline.to_monotonic(WallTime{1010}, WallTime{1000}, 50) == 60);
+    CHECK(deadline.to_monotonic(WallTime{1010}, WallTime{1004 + step}, 54) == 60);
+    CHECK(deadline.to_monotonic(WallTime{1030 + step}, WallTime{1004 + step}, 54) == 80);
   }
 }
 
