--- a/src/clients/connection.cpp
+++ b/src/clients/connection.cpp
@@ -14,21 +14,26 @@
 
 namespace {
 
-constexpr std::size_t kLargestHeader = 8 * 1024;
-constexpr std::size_t kLargestDrain = 256 * 1024;  // read after the last answer, so that the client sees it
-constexpr double kLinger = 1;                      // for which that is done
-// For which a resting connection is read that was ended: what crosses its end comes within a round trip. Of
-// clients that ask once and stay many are ended, and none of them closes its side.
-constexpr double kRestLinger = 0.1;
-constexpr double kDepartureCheck = 0.04;  // between two looks whether a client has gone that can't be read
-constexpr double kUnread = 10;            // without a byte of its answer taken, after which a client is gone
-constexpr double kReadsFirst = 0.02;      // until a late connection with unread bytes is looked at again
-constexpr double kLastReads = 0.2;        // for which that goes on with half a request
-constexpr double kArrival = 2.25;  // for a request to arrive, the first one from the connection's start
+constexpr std::size_t kMaxHeaderBytes = 8 * 1024;
+// After the last answer of a connection its input is read and discarded, up to these limits: closing the
+// socket with unread bytes would reset the connection, and the client might lose the answer.
+constexpr std::size_t kMaxDrainBytes = 256 * 1024;
+constexpr double kLingerSeconds = 1;
+// The same for a connection closed while idle: a request that crosses the close arrives within a round trip.
+// Kept short, as many clients send one request, leave their connection open and never close their side.
+constexpr double kIdleLingerSeconds = 0.1;
+constexpr double kDisconnectPollSeconds = 0.04;  // while a full buffer keeps the end from being read
+constexpr double kWriteTimeoutSeconds = 10;      // without a byte of the answer accepted by the client
+constexpr double kUnreadRecheckSeconds =
+    0.02;  // interval of checks on a timed out connection with unread bytes
+constexpr double kPartialReadGraceSeconds = 0.2;  // how long a partial request with unread bytes is rechecked
+// For a request to arrive, from its first byte on; the first one of a connection from the accept on.
+constexpr double kRequestTimeoutSeconds = 2.25;
 
-// A request without one plain length hides where the next one begins: two readers that go by different
-// headers would pass on, as a request of its own, what stands in the body of another.
-bool framed(const http::request<http::string_body>& request) {
+// Whether the headers state the length of the body in exactly one way. Otherwise two readers that go by
+// different headers disagree where the next request begins, and part of a body could pass as a request of its
+// own (request smuggling).
+bool has_single_length(const http::request<http::string_body>& request) {
   const auto lengths = request.count(http::field::content_length);
   const auto codings = request.count(http::field::transfer_encoding);
   return lengths + codings <= 1 &&
@@ -37,16 +42,16 @@
 
 }  // namespace
 
-ClientConnection::ClientConnection(asio::ip::tcp::socket socket, DueTimes& due, Owner& owner, int id)
+ClientConnection::ClientConnection(asio::ip::tcp::socket socket, DueTimes& timers, Owner& owner, int id)
     : socket_(std::move(socket)),
-      due_(due),
+      timers_(timers),
       owner_(owner),
       id_(id),
-      due_key_(due.fresh_key()),
-      since_(now()),
-      opened_(since_),
-      in_(2 * kLargestHeader),
-      out_(kLargestBody + kLargestHeader) {}
+      timer_key_(timers.fresh_key()),
+      waiting_since_(now()),
+      opened_at_(waiting_since_),
+      in_(2 * kMaxHeaderBytes),
+      out_(kMaxBodyBytes + kMaxHeaderBytes) {}
 
 void ClientConnection::start() {
   boost::system::error_code ignored;
@@ -54,79 +59,82 @@
   if (!ignored && peer.is_v4()) address_ = peer.to_v4().to_uint();
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
-  close_at(since_ + kArrival);
+  set_timeout(waiting_since_ + kRequestTimeoutSeconds);
   read();
 }
 
-void ClientConnection::close_at(double at) {
-  due_.set(due_key_, at, [weak = weak_from_this()](double) {
-    if (const auto self = weak.lock()) self->late();
+void ClientConnection::set_timeout(double at) {
+  timers_.set(timer_key_, at, [weak = weak_from_this()](double) {
+    if (const auto self = weak.lock()) self->on_timeout();
   });
 }
 
-// A connection that says nothing, or half a request, would hold its place for good. What is closed for that
-// was never taken.
-void ClientConnection::late() {
+// Closes a connection that stays silent or stops in the middle of a request, as it would hold its place
+// forever. No query has been accepted on it at that point.
+void ClientConnection::on_timeout() {
   const auto self = shared_from_this();
-  if (half_read()) {
+  if (has_partial_request()) {
     const auto at = now();
-    if (unread() && at < since_ + kArrival + kLastReads) return close_at(at + kReadsFirst);
-    return refuse_half(Shut::half, 408, "the request did not arrive in time");
+    if (has_unread_bytes() && at < waiting_since_ + kRequestTimeoutSeconds + kPartialReadGraceSeconds)
+      return set_timeout(at + kUnreadRecheckSeconds);
+    return reject_partial_request(Shut::half, 408, "the request did not arrive in time");
   }
-  if (idle()) return close_idle(Shut::mute) ? void() : close_at(now() + kReadsFirst);
-  close(state_ == State::lingering ? shut_ : Shut::unread);
+  if (idle()) return close_idle(Shut::mute) ? void() : set_timeout(now() + kUnreadRecheckSeconds);
+  close(state_ == State::lingering ? close_reason_ : Shut::unread);
 }
 
-bool ClientConnection::unread() const {
+bool ClientConnection::has_unread_bytes() const {
   boost::system::error_code error;
   return socket_.available(error) > 0 && !error;
 }
 
-// A close over unread bytes would reset the connection, and with it an answer that the client has yet to
-// read.
+// Closing a socket with unread bytes would reset the connection, and the client could lose an answer that it
+// has not read yet.
 bool ClientConnection::close_idle(Shut why) {
-  if (unread()) return false;
-  if (!served_) {
+  if (has_unread_bytes()) return false;
+  if (!has_answered_) {
     close(why);
     return true;
   }
-  shut_ = why;
-  linger(kRestLinger);
+  close_reason_ = why;
+  linger(kIdleLingerSeconds);
   return true;
 }
 
-void ClientConnection::refuse_half(Shut why, int status, std::string_view text) {
-  shut_ = why;
-  fail(status, text);
+void ClientConnection::reject_partial_request(Shut why, int status, std::string_view text) {
+  close_reason_ = why;
+  reject(status, text);
 }
 
-// While its buffer is full of what it has sent ahead nothing more is read, so that its end can't be read
-// either: a client that sends much at once and goes would have its parts sent on long after.
-void ClientConnection::watch_departure() {
-  due_.set(due_key_, now() + kDepartureCheck, [weak = weak_from_this()](double) {
+// While the buffer is full of pipelined requests nothing is read, and so the client's close isn't noticed
+// either. Without this poll, parts would still be sent for a client that sent much at once and disconnected
+// long ago.
+void ClientConnection::poll_disconnect() {
+  timers_.set(timer_key_, now() + kDisconnectPollSeconds, [weak = weak_from_this()](double) {
     const auto self = weak.lock();
-    if (!self || self->state_ != State::asked) return;
-    if (self->departed()) return self->lost();
-    self->watch_departure();
+    if (!self || self->state_ != State::answer_pending) return;
+    if (self->peer_disconnected()) return self->on_connection_lost();
+    self->poll_disconnect();
   });
 }
 
-bool ClientConnection::departed() {
+bool ClientConnection::peer_disconnected() {
   pollfd state{socket_.native_handle(), POLLRDHUP, 0};
   return ::poll(&state, 1, 0) > 0 && (state.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
 }
 
-// A connection between two requests has no buffer: many clients ask once and keep theirs for good. What is
-// there is waited for and then read, so that a read that brings less than there is leaves nothing unnoticed.
+// Waits until the socket is readable and only then allocates the buffer: many clients send one request and
+// keep their connection open, and an idle connection must not hold a buffer. As
+// every read follows such a wait, a read that leaves bytes in the socket misses nothing.
 void ClientConnection::read() {
   if (reading_ || state_ == State::closed) return;
-  if (in_.free_space() == 0) return state_ == State::asked ? watch_departure() : void();
+  if (in_.free_space() == 0) return state_ == State::answer_pending ? poll_disconnect() : void();
   reading_ = true;
   in_.release();
   socket_.async_wait(asio::ip::tcp::socket::wait_read, [self = shared_from_this()](const auto& error) {
     self->reading_ = false;
     if (self->state_ == State::closed) return;
-    if (error) return self->lost();
+    if (error) return self->on_connection_lost();
     self->read_some();
   });
 }
@@ -136,40 +144,40 @@
   boost::system::error_code error;
   const auto count = socket_.read_some(in_.space(), error);
   if (is_out_of_memory(error))
-    return due_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &ClientConnection::read);
+    return timers_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &ClientConnection::read);
   if (is_transient(error)) return read();
-  if (error) return lost();
+  if (error) return on_connection_lost();
   in_.commit(count);
-  take();
+  process_input();
   read();
 }
 
-void ClientConnection::take() {
+void ClientConnection::process_input() {
   if (state_ == State::lingering) {
-    drained_ += in_.size();
+    drained_bytes_ += in_.size();
     in_.consume(in_.size());
-    if (drained_ > kLargestDrain) close(shut_);
+    if (drained_bytes_ > kMaxDrainBytes) close(close_reason_);
     return;
   }
   while (state_ == State::reading && in_.size() > 0) {
     const auto before = in_.size();
-    take_request();
+    parse_request();
     if (in_.size() == before) break;
   }
 }
 
-// Reads what is there as far as one request goes; the next one waits for the answer.
-void ClientConnection::take_request() {
-  if (!begun_) {
-    begun_ = true;
-    owner_.seen(*this, What::first_byte, now() - since_, 0);
+// Parses the bytes of at most one request; the next one is parsed after the answer.
+void ClientConnection::parse_request() {
+  if (!request_begun_) {
+    request_begun_ = true;
+    owner_.connection_event(*this, What::first_byte, now() - waiting_since_, 0);
     parser_.emplace();
-    parser_->header_limit(kLargestHeader);
-    parser_->body_limit(kLargestBody);
+    parser_->header_limit(kMaxHeaderBytes);
+    parser_->body_limit(kMaxBodyBytes);
     parser_->eager(true);
-    if (served_) {
-      since_ = now();
-      close_at(since_ + kArrival);
+    if (has_answered_) {
+      waiting_since_ = now();
+      set_timeout(waiting_since_ + kRequestTimeoutSeconds);
     }
   }
   boost::system::error_code error;
@@ -178,123 +186,124 @@
     const auto status = error == http::error::body_limit     ? 413
                         : error == http::error::header_limit ? 431
                                                              : 400;
-    return fail(status, error.message());
+    return reject(status, error.message());
   }
-  if (parser_->is_header_done() && !framed(parser_->get())) return fail(400, "the length is not plain");
-  if (parser_->is_header_done() && !parser_->is_done() && !continued_ &&
+  if (parser_->is_header_done() && !has_single_length(parser_->get()))
+    return reject(400, "the length is not plain");
+  if (parser_->is_header_done() && !parser_->is_done() && !continue_sent_ &&
       boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
-    continued_ = true;
+    continue_sent_ = true;
     out_.append("HTTP/1.1 100 Continue\r\n\r\n");
     write();
   }
   if (!parser_->is_done()) {
-    if (in_.free_space() == 0) fail(431, "header too large");
+    if (in_.free_space() == 0) reject(431, "header too large");
     return;
   }
-  state_ = State::asked;
-  due_.drop(due_key_);
-  owner_.seen(*this, What::request, now() - since_, 0);
-  asked_at_ = now();
+  state_ = State::answer_pending;
+  timers_.drop(timer_key_);
+  owner_.connection_event(*this, What::request, now() - waiting_since_, 0);
+  request_at_ = now();
   keep_alive_ = parser_->keep_alive();
   const auto request = parser_->release();
   parser_.reset();
-  if (refuses_rest_) return answer(503, "the router ends");
-  owner_.asked(*this, request);
+  if (rejects_pipelined_) return answer(503, "the router ends");
+  owner_.request_received(*this, request);
 }
 
-void ClientConnection::fail(int status, std::string_view why) {
-  due_.drop(due_key_);
-  state_ = State::asked;
-  asked_at_ = now();
-  if (shut_ == Shut::by_client) shut_ = Shut::bad;
+void ClientConnection::reject(int status, std::string_view why) {
+  timers_.drop(timer_key_);
+  state_ = State::answer_pending;
+  request_at_ = now();
+  if (close_reason_ == Shut::by_client) close_reason_ = Shut::bad;
   keep_alive_ = false;
   answer(status, why);
 }
 
 void ClientConnection::answer(int status, std::string_view body, double retry_after) {
-  if (state_ != State::asked) return;
-  if (body.size() > kLargestBody) return fail(500, "the answer is too large");
+  if (state_ != State::answer_pending) return;
+  if (body.size() > kMaxBodyBytes) return reject(500, "the answer is too large");
   state_ = State::answering;
   status_ = status;
-  // What was read behind this request is owed an answer too, though none of it is sent on any more.
-  refuses_rest_ = keep_alive_ && !owner_.keeps() && in_.size() > 0;
-  keep_alive_ = keep_alive_ && (owner_.keeps() || refuses_rest_);
-  out_.append(answer_head(status, body.size(), keep_alive_, retry_after));
+  // Requests that were already read behind this one get an answer too, but none of them is served.
+  rejects_pipelined_ = keep_alive_ && !owner_.keeps_connections_open() && in_.size() > 0;
+  keep_alive_ = keep_alive_ && (owner_.keeps_connections_open() || rejects_pipelined_);
+  out_.append(response_head(status, body.size(), keep_alive_, retry_after));
   out_.append(body);
   write();
 }
 
-// What follows the last byte comes later, never from within: the next request may stand behind this one, and
-// whoever gives an answer must not be asked something meanwhile.
+// on_written() is posted, never called from here: it may process the next pipelined request, and the caller
+// that gives an answer must not be re-entered.
 void ClientConnection::write() {
   if (writing_ || state_ == State::closed) return;
   boost::system::error_code error;
   while (out_.size() > 0 && !error) out_.consume(socket_.write_some(out_.data(), error));
   if (is_transient(error)) return await_writable();
   if (is_out_of_memory(error))
-    return due_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &ClientConnection::write);
+    return timers_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &ClientConnection::write);
   if (!error && state_ != State::answering) return;
   writing_ = true;
   asio::post(socket_.get_executor(), [self = shared_from_this(), failed = bool(error)] {
     self->writing_ = false;
     if (self->state_ == State::closed) return;
-    failed ? self->lost() : self->written();
+    failed ? self->on_connection_lost() : self->on_written();
   });
 }
 
 void ClientConnection::await_writable() {
   writing_ = true;
-  close_at(now() + kUnread);
+  set_timeout(now() + kWriteTimeoutSeconds);
   socket_.async_wait(asio::ip::tcp::socket::wait_write, [self = shared_from_this()](const auto& error) {
     self->writing_ = false;
     if (self->state_ == State::closed) return;
-    if (error) return self->lost();
+    if (error) return self->on_connection_lost();
     self->write();
   });
 }
 
-void ClientConnection::written() {
+void ClientConnection::on_written() {
   out_.release();
   parser_.reset();
-  due_.drop(due_key_);
-  begun_ = continued_ = false;
-  served_ = true;
-  ++answers_;
-  since_ = now();
-  owner_.seen(*this, What::answered, status_, since_ - asked_at_);
+  timers_.drop(timer_key_);
+  request_begun_ = continue_sent_ = false;
+  has_answered_ = true;
+  ++answer_count_;
+  waiting_since_ = now();
+  owner_.connection_event(*this, What::answered, status_, waiting_since_ - request_at_);
   if (keep_alive_) {
     state_ = State::reading;
-    take();
+    process_input();
     return read();
   }
-  if (shut_ == Shut::by_client) shut_ = Shut::answered;
-  linger(shut_ == Shut::room ? kRestLinger : kLinger);
+  if (close_reason_ == Shut::by_client) close_reason_ = Shut::answered;
+  linger(close_reason_ == Shut::room ? kIdleLingerSeconds : kLingerSeconds);
 }
 
-// A connection closed with something unread in it is reset, and the answer may be lost with it. So it ends
-// for writing first, and what still comes is thrown away until the client ends it too.
-void ClientConnection::linger(double time) {
+// Shuts down the sending side and discards further input until the client closes too or `seconds` are over. A
+// plain close with unread input would reset the connection, and the client could lose the answer.
+void ClientConnection::linger(double seconds) {
   state_ = State::lingering;
   in_.consume(in_.size());
   boost::system::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-  close_at(now() + time);
+  set_timeout(now() + seconds);
   read();
 }
 
-void ClientConnection::lost() {
-  if (state_ == State::asked) owner_.left(*this);
-  close(shut_);
+void ClientConnection::on_connection_lost() {
+  if (state_ == State::answer_pending) owner_.client_disconnected(*this);
+  close(close_reason_);
 }
 
 void ClientConnection::close(Shut why) {
   if (state_ == State::closed) return;
-  shut_ = why;
+  close_reason_ = why;
   state_ = State::closed;
-  due_.drop(due_key_);
+  timers_.drop(timer_key_);
   boost::system::error_code ignored;
   socket_.close(ignored);
-  owner_.closed(*this);
+  owner_.connection_closed(*this);
 }
 
 }  // namespace yoketurn
--- a/src/clients/connection.hpp
+++ b/src/clients/connection.hpp
@@ -1,4 +1,4 @@
-// One client's connection: requests in, one at a time, and answers out.
+// One client's HTTP connection: reads requests one at a time and writes the answers.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "buffers/ring_buffer.hpp"
-#include "clients/bodies.hpp"
+#include "clients/http_messages.hpp"
 #include "queries/due.hpp"
 #include "timeline/event.hpp"
 
@@ -19,76 +19,83 @@
  public:
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
 
+  // Receives what happens on the connection. Times are in seconds.
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void asked(ClientConnection& connection, const Request& request) = 0;
-    virtual void left(ClientConnection& connection) = 0;  // the client, with a request in hand
-    virtual void closed(ClientConnection& connection) = 0;
-    virtual void seen(ClientConnection& connection, What what, double a, double b) = 0;
-    virtual bool keeps() const = 0;  // whether connections stay open after an answer
+    virtual void request_received(ClientConnection& connection, const Request& request) = 0;
+    // The client disconnected while its request is unanswered.
+    virtual void client_disconnected(ClientConnection& connection) = 0;
+    virtual void connection_closed(ClientConnection& connection) = 0;
+    // An event for the timeline; the meaning of a and b is described at What.
+    virtual void connection_event(ClientConnection& connection, What what, double a, double b) = 0;
+    virtual bool keeps_connections_open() const = 0;  // after an answer
   };
 
-  ClientConnection(boost::asio::ip::tcp::socket socket, DueTimes& due, Owner& owner, int id);
+  ClientConnection(boost::asio::ip::tcp::socket socket, DueTimes& timers, Owner& owner, int id);
 
   void start();
+  // Answers the request that is pending; does nothing if there is none. retry_after: seconds, 0: no such
+  // header.
   void answer(int status, std::string_view body, double retry_after = 0);
   void close(Shut why);
-  // Ends a connection that is idle. False: a request may lie unread in its socket, it has to be read instead.
+  // Ends an idle connection. Returns false and does nothing if its socket has unread bytes: they may be a
+  // request, which has to be read first.
   bool close_idle(Shut why);
-  // Answers half a request with an error, the last of its connection.
-  void refuse_half(Shut why, int status, std::string_view text);
-  bool unread() const;  // whether bytes lie in its socket
-  // Between two requests: nothing of a request has been read.
-  bool idle() const { return state_ == State::reading && !begun_; }
-  bool half_read() const { return state_ == State::reading && begun_; }
-  bool served() const { return served_; }  // has had an answer
-  double since() const { return since_; }  // when it came to wait for a request, or for the rest of one
+  // Answers a partially read request with an error and closes the connection after it.
+  void reject_partial_request(Shut why, int status, std::string_view text);
+  bool has_unread_bytes() const;  // in its socket
+  // Between two requests: nothing of the next one has been read.
+  bool idle() const { return state_ == State::reading && !request_begun_; }
+  bool has_partial_request() const { return state_ == State::reading && request_begun_; }
+  bool has_answered() const { return has_answered_; }  // at least one request
+  // When it began to wait for the first byte of a request, or for the rest of one.
+  double waiting_since() const { return waiting_since_; }
   int id() const { return id_; }
-  std::uint32_t address() const { return address_; }  // IPv4, as a number
-  Shut shut() const { return shut_; }                 // why it was closed
-  double opened() const { return opened_; }
-  int answers() const { return answers_; }
+  std::uint32_t address() const { return address_; }   // IPv4, as a number
+  Shut close_reason() const { return close_reason_; }  // valid once it is closed
+  double opened_at() const { return opened_at_; }
+  int answer_count() const { return answer_count_; }
 
  private:
-  enum class State { reading, asked, answering, lingering, closed };
+  enum class State { reading, answer_pending, answering, lingering, closed };
 
   void read();
   void read_some();
-  void take();
-  void take_request();
-  void close_at(double at);
-  void late();
-  void watch_departure();
-  bool departed();
-  void linger(double time);
-  void fail(int status, std::string_view why);
+  void process_input();
+  void parse_request();
+  void set_timeout(double at);
+  void on_timeout();
+  void poll_disconnect();
+  bool peer_disconnected();
+  void linger(double seconds);
+  void reject(int status, std::string_view why);
   void write();
   void await_writable();
-  void written();
-  void lost();
+  void on_written();
+  void on_connection_lost();
 
   boost::asio::ip::tcp::socket socket_;
-  DueTimes& due_;
+  DueTimes& timers_;
   Owner& owner_;
   int id_;
-  DueTimes::Key due_key_;
+  DueTimes::Key timer_key_;
   State state_ = State::reading;
-  bool begun_ = false;
+  bool request_begun_ = false;
   bool keep_alive_ = true;
-  bool served_ = false;
+  bool has_answered_ = false;
   bool reading_ = false;
   bool writing_ = false;
-  bool refuses_rest_ = false;  // requests that were sent ahead of the last answer are not served any more
-  bool continued_ = false;     // a client that asked whether to send its body has been told to
-  double since_ = 0;
-  double opened_ = 0;
-  double asked_at_ = 0;
-  int answers_ = 0;
+  bool rejects_pipelined_ = false;  // requests sent before the last answer get a 503 from now on
+  bool continue_sent_ = false;      // the interim answer 100 Continue was sent for this request
+  double waiting_since_ = 0;
+  double opened_at_ = 0;
+  double request_at_ = 0;
+  int answer_count_ = 0;
   std::uint32_t address_ = 0;
-  Shut shut_ = Shut::by_client;
-  int status_ = 0;
-  std::size_t drained_ = 0;  // read and thrown away after the last answer
+  Shut close_reason_ = Shut::by_client;
+  int status_ = 0;                 // of the answer being written
+  std::size_t drained_bytes_ = 0;  // discarded after the last answer
   RingBuffer in_, out_;
   std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
 };
--- a/src/clients/listener.hpp
+++ b/src/clients/listener.hpp
@@ -1,4 +1,4 @@
-// Accepts clients and holds their connections.
+// Accepts clients' connections and owns them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,58 +11,58 @@
 
 namespace yoketurn {
 
-class Listener : private ClientConnection::Owner {
+class ClientListener : private ClientConnection::Owner {
  public:
-  // What is asked, by connection; an answer may be given at once or later.
-  class Asker {
+  // Handles the requests, by connection number; the answer may be given at once or later.
+  class RequestHandler {
    public:
-    virtual ~Asker() = default;
-    virtual void asked(int connection, const ClientConnection::Request& request) = 0;
-    virtual void left(int connection) = 0;
-    // What goes on at the door, as events of the time line.
-    virtual void door(What what, std::uint8_t why, int connection, std::uint32_t address, double a,
-                      double b) = 0;
+    virtual ~RequestHandler() = default;
+    virtual void request_received(int connection, const ClientConnection::Request& request) = 0;
+    virtual void client_disconnected(int connection) = 0;  // while its request is unanswered
+    // Events of the client ingress for the timeline; the figures are described at What.
+    virtual void ingress_event(What what, std::uint8_t why, int connection, std::uint32_t address, double a,
+                               double b) = 0;
   };
 
-  // From room_from connections on, each new one has one that waits for a request closed for it.
-  Listener(boost::asio::io_context& context, DueTimes& due, std::size_t most_connections,
-           std::size_t room_from, Log& log, Asker& asker);
-  ~Listener();
+  // From make_room_from connections on, one connection that waits for a request is closed for each new one.
+  ClientListener(boost::asio::io_context& context, DueTimes& timers, std::size_t max_connections,
+                 std::size_t make_room_from, Log& log, RequestHandler& handler);
+  ~ClientListener();
 
-  void open(const boost::asio::ip::tcp::endpoint& at);  // throws if it can't listen there
+  void open(const boost::asio::ip::tcp::endpoint& endpoint);  // throws if it can't listen there
   boost::asio::ip::tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
   void answer(int connection, int status, std::string_view body, double retry_after = 0);
-  void wind_down();   // answers are the last of their connections from here on
-  void close_idle();  // between two requests
-  void stop();        // accepts what the kernel has taken, then no more
-  // Whether an answer has not been written, or read by its client, or a request may lie unread.
-  bool owes() const;
+  void close_after_answers();  // closes each connection after its next answer
+  void close_idle();           // closes the connections that are between two requests
+  void stop();                 // accepts the connections that wait in the kernel's queue, then no more
+  // Whether a request is unanswered or may be unread, or an answer is not yet written or read by its client.
+  bool has_unfinished_work() const;
   std::size_t connections() const { return connections_.size(); }
 
  private:
-  void asked(ClientConnection& connection, const ClientConnection::Request& request) override;
-  void left(ClientConnection& connection) override;
-  void closed(ClientConnection& connection) override;
-  void seen(ClientConnection& connection, What what, double a, double b) override;
-  bool keeps() const override { return !winding_down_; }
+  void request_received(ClientConnection& connection, const ClientConnection::Request& request) override;
+  void client_disconnected(ClientConnection& connection) override;
+  void connection_closed(ClientConnection& connection) override;
+  void connection_event(ClientConnection& connection, What what, double a, double b) override;
+  bool keeps_connections_open() const override { return !closing_after_answers_; }
 
-  void await_client();
+  void wait_for_client();
   void accept();
-  void accept_at(double at);
+  void accept_later(double at);
   void admit(boost::asio::ip::tcp::socket socket);
   void make_room();
 
   boost::asio::io_context& context_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  DueTimes& due_;
-  DueTimes::Key due_key_;
-  std::size_t most_connections_;
-  std::size_t room_from_;
+  DueTimes& timers_;
+  DueTimes::Key timer_key_;
+  std::size_t max_connections_;
+  std::size_t make_room_from_;
   Log& log_;
-  Asker& asker_;
-  bool awaiting_ = false;
-  bool at_bound_ = false;  // nothing is accepted until a connection ends or can make room
-  bool winding_down_ = false;
+  RequestHandler& handler_;
+  bool accept_pending_ = false;
+  bool at_limit_ = false;  // nothing is accepted until a connection ends or becomes idle
+  bool closing_after_answers_ = false;
   int last_id_ = 0;
   std::unordered_map<int, std::shared_ptr<ClientConnection>> connections_;
 };
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -51,23 +51,25 @@
           d.reports, d.alarms, d.fleet, d.most,  settings.cold_time};
 }
 
-// A load report's figures, whatever they are set apart by; nullopt: none that is known.
+// The figures of a data node's load report.
 struct LoadReport {
-  double in_flight = 0, queue = 0, unix = 0;  // when it was measured; 0: it does not say
+  double in_flight = 0, queue = 0;
+  double unix_seconds = 0;  // when it was measured; 0: not stated
 };
-std::optional<LoadReport> read_report(std::string_view text) {
+// Accepts `=` and `:` between name and value. nullopt: unreadable, or without any known figure.
+std::optional<LoadReport> parse_load_report(std::string_view text) {
   LoadReport report;
   bool known = false;
   for (const auto& pair : split(text, ',')) {
     const auto at = pair.find_first_of("=:");
     if (at == std::string::npos) return std::nullopt;
-    const auto word = std::string_view(pair).substr(0, at);
+    const auto name = std::string_view(pair).substr(0, at);
     const auto value = to_number(std::string_view(pair).substr(at + 1));
     if (!value) return std::nullopt;
-    if (word == "inflight") report.in_flight = *value;
-    if (word == "queue") report.queue = *value;
-    if (word == "at_ms") report.unix = *value / 1e3;
-    known = known || word == "inflight" || word == "queue";
+    if (name == "inflight") report.in_flight = *value;
+    if (name == "queue") report.queue = *value;
+    if (name == "at_ms") report.unix_seconds = *value / 1e3;
+    known = known || name == "inflight" || name == "queue";
   }
   return known ? std::optional(report) : std::nullopt;
 }
@@ -77,27 +79,27 @@
           bounds.connect_timeout, bounds.idle_timeout};
 }
 
-Asked asked_of(const Config& config) {
-  Asked asked{index(config.verticals), {}, config.bounds.shards};
-  for (const auto& vertical : config.settings.verticals) asked.effects.push_back(vertical.effect);
-  return asked;
+QuerySchema make_query_schema(const Config& config) {
+  QuerySchema schema{index(config.verticals), {}, config.bounds.shards};
+  for (const auto& vertical : config.settings.verticals) schema.effects.push_back(vertical.effect);
+  return schema;
 }
 
-std::string site_of(const Config& config) {
+std::string own_site(const Config& config) {
   const auto zone = config.settings.zone;
   return zone == kNone ? "" : config.zones[static_cast<std::size_t>(zone)];
 }
 
-std::string text_of(const asio::ip::tcp::endpoint& at) {
-  return fmt::format("{}:{}", at.address().to_string(), at.port());
+std::string endpoint_text(const asio::ip::tcp::endpoint& endpoint) {
+  return fmt::format("{}:{}", endpoint.address().to_string(), endpoint.port());
 }
 
-asio::steady_timer::duration until(double at) {
+asio::steady_timer::duration time_left(double at) {
   return std::chrono::duration_cast<asio::steady_timer::duration>(
       std::chrono::duration<double>(std::max(at - now(), 0.0)));
 }
 
-Act act_of(Reason reason) {
+Act act_for(Reason reason) {
   return reason == Reason::first ? Act::first : reason == Reason::copy ? Act::copy : Act::resent;
 }
 
@@ -112,37 +114,37 @@
     : context_(context),
       log_(log),
       config_(config),
-      asked_(asked_of(config)),
+      query_schema_(make_query_schema(config)),
       zones_(index(config.zones)),
       unix_at_zero_(unix_at_zero()),
       shutdown_(config.bounds.longest_wait),
       standstill_(kMinStandstillSeconds),
       node_ages_(config.settings.cold_time),
-      version_reporter_({config.name, site_of(config), config.verticals}, config.seed, now(), unix_at_zero_,
+      version_reporter_({config.name, own_site(config), config.verticals}, config.seed, now(), unix_at_zero_,
                         log,
                         {[this] { watch_.ask_again(); }, [this] { reload(); },
                          [this](const asio::ip::tcp::endpoint& at) {
-                           discovery_now_ = at;
+                           current_discovery_ = at;
                            watch_.follow(at);
                          }}),
-      discovery_now_(config.discovery),
-      queries_(config.settings, config.seed, now(), due_, *this),
-      pool_(context, due_, node_limits(config.bounds), node_connections(config), log, *this),
-      clients_(context, due_, config.max_sockets - reserved_sockets(config) - node_connections(config),
+      current_discovery_(config.discovery),
+      queries_(config.settings, config.seed, now(), timers_, *this),
+      pool_(context, timers_, node_limits(config.bounds), node_connections(config), log, *this),
+      clients_(context, timers_, config.max_sockets - reserved_sockets(config) - node_connections(config),
                config.max_sockets / kMakeRoomDivisor, log, *this),
-      watch_(context, due_, config.discovery, log, *this),
+      watch_(context, timers_, config.discovery, log, *this),
       tick_timer_(context),
-      due_timer_(context),
+      timer_(context),
       signals_(context) {}
 
-// What ends connections may set due times, and the timer that waits for these ends first.
+// Closing connections may set timers, while timer_ is destroyed before them: it must not be armed any more.
 Router::~Router() {
-  due_.on_earlier(nullptr);
+  timers_.on_earlier(nullptr);
 }
 
 void Router::start() {
   if (config_.ignores_peer_messages)
-    log_.line("left_out", "key=bounds.peer_messages why=\"no way to other routers\"");
+    log_.line("left_out", "key=bounds.peer_messages why=\"the protocol has no messages between routers\"");
   signals_.add(SIGTERM);
   signals_.add(SIGHUP);
   await_signal();
@@ -152,7 +154,7 @@
       recorder_->version(subject, version_reporter_.versions().version(subject),
                          version_reporter_.versions().number(), now());
   };
-  watch_over(config_.operators);
+  apply_operators(config_.operators);
   version_reporter_.set_file_version(Subject::configuration, config_.hash, config_.path, now());
   version_reporter_.set_file_version(Subject::operators, config_.operators.hash, config_.operators_path,
                                      now());
@@ -161,11 +163,12 @@
             config_.listen.address().to_string(), config_.listen.port());
   listed(config_.initial_members);
   watch_.start(config_.initial_members.version);
-  next_tick_ = now();
-  figures_at_ = next_tick_ + kCountersLogSeconds;
-  // What is read may set a time that comes before the next turn: a lost watch would be opened a tick later.
-  due_.on_earlier([this] {
-    if (!in_turn_) arm();
+  next_tick_at_ = now();
+  next_counters_log_at_ = next_tick_at_ + kCountersLogSeconds;
+  // Without this, a timer set while input is read would be noticed at the next turn only, and a lost watch be
+  // reopened a tick later.
+  timers_.on_earlier([this] {
+    if (!in_turn_) arm_timer();
   });
   tick();
 }
@@ -182,115 +185,118 @@
   });
 }
 
-// A file that is missing, half written or broken leaves all as it is. What is in hand goes on meanwhile, and
-// the list stands until the new address tells one: without this a router would end by the signal, or stay
-// blind on an address that is given up.
+// A file that is missing, partly written or broken changes nothing. Queries in progress continue, and the
+// current list stays in use until the new discovery address sends one. Without reloading, SIGHUP would end
+// the router, or it would go on following an address that is no longer in use.
 void Router::reload() {
-  const auto operators_taken = reload_operators();
+  const auto operators_applied = reload_operators();
   try {
-    const auto fresh = load_config(config_.path);
-    const std::pair<const char*, bool> fixed[] = {{"name", fresh.name != config_.name},
-                                                  {"listen", fresh.listen != config_.listen},
-                                                  {"limits", fresh.max_sockets != config_.max_sockets},
-                                                  {"settings", fresh.raw_settings != config_.raw_settings}};
+    const auto loaded = load_config(config_.path);
+    const std::pair<const char*, bool> fixed[] = {{"name", loaded.name != config_.name},
+                                                  {"listen", loaded.listen != config_.listen},
+                                                  {"limits", loaded.max_sockets != config_.max_sockets},
+                                                  {"settings", loaded.raw_settings != config_.raw_settings}};
     std::string kept;
     for (const auto& [entry, changed] : fixed)
       if (changed) kept += (kept.empty() ? "" : ",") + std::string(entry);
-    log_.line("reloaded", "discovery={}:{} changed={} kept={}", fresh.discovery.address().to_string(),
-              fresh.discovery.port(), fresh.discovery != config_.discovery, kept.empty() ? "-" : kept);
-    // What is kept is not acted on: the version stays, and that it does is told.
-    version_reporter_.versions().kept(!kept.empty() || !operators_taken, now());
+    log_.line("reloaded", "discovery={}:{} changed={} kept={}", loaded.discovery.address().to_string(),
+              loaded.discovery.port(), loaded.discovery != config_.discovery, kept.empty() ? "-" : kept);
+    // With a changed entry that can't be applied the old configuration stays in effect: keep its version and
+    // report that.
+    version_reporter_.versions().kept(!kept.empty() || !operators_applied, now());
     if (kept.empty())
-      version_reporter_.set_file_version(Subject::configuration, fresh.hash, config_.path, now());
-    if (fresh.discovery == config_.discovery) return;
-    config_.discovery = discovery_now_ = fresh.discovery;
-    watch_.follow(fresh.discovery);
+      version_reporter_.set_file_version(Subject::configuration, loaded.hash, config_.path, now());
+    if (loaded.discovery == config_.discovery) return;
+    config_.discovery = current_discovery_ = loaded.discovery;
+    watch_.follow(loaded.discovery);
   } catch (const std::exception& error) {
     version_reporter_.versions().kept(true, now());
     log_.line("reload_failed", "why=\"{}\"", error.what());
   }
 }
 
-void Router::enter(Phase phase) {
+void Router::enter_phase(Phase phase) {
   phase_ = phase;
   version_reporter_.set_serving(phase == Phase::serving);
-  log_.line("phase", "name={} in_hand={} clients={}", name(phase), by_client_.size(), clients_.connections());
+  log_.line("phase", "name={} in_hand={} clients={}", name(phase), query_by_connection_.size(),
+            clients_.connections());
 }
 
 void Router::drain() {
   if (phase_ == Phase::draining) return;
-  enter(Phase::draining);
+  enter_phase(Phase::draining);
   shutdown_.begin(now());
-  wake();
+  schedule_turn();
 }
 
-void Router::wind_up(double at) {
+void Router::advance_shutdown(double at) {
   if (phase_ != Phase::draining || at < shutdown_.accepts_until()) return;
   clients_.stop();
   if (clients_.connections() > 0 && at < shutdown_.serves_until()) return;
-  clients_.wind_down();
+  clients_.close_after_answers();
   clients_.close_idle();
-  if (clients_.owes()) return;
-  enter(Phase::stopped);
+  if (clients_.has_unfinished_work()) return;
+  enter_phase(Phase::stopped);
   context_.stop();
 }
 
-// --- the time line
+// --- the timeline
 
-// What can fail comes first: nothing has changed then.
-void Router::watch_over(const Operators& operators) {
+// All that can fail comes first, before anything is changed.
+void Router::apply_operators(const Operators& operators) {
   const auto& before = config_.operators;
-  const auto same = recorder_ && operators.timeline.memory == before.timeline.memory &&
-                    operators.timeline.fine == before.timeline.fine &&
-                    operators.timeline.lines == before.timeline.lines &&
-                    operators.departures == before.departures;
-  const auto at = operators.timeline.on && !operators.timeline.listen.empty()
-                      ? read_endpoint(operators.timeline.listen)
-                      : std::nullopt;
-  if (operators.timeline.on && !operators.timeline.listen.empty() && !at)
-    throw Malformed("timeline.listen can't be read");
+  const auto same_recorder = recorder_ && operators.timeline.memory == before.timeline.memory &&
+                             operators.timeline.fine == before.timeline.fine &&
+                             operators.timeline.lines == before.timeline.lines &&
+                             operators.departures == before.departures;
+  const auto listen = operators.timeline.on && !operators.timeline.listen.empty()
+                          ? read_endpoint(operators.timeline.listen)
+                          : std::nullopt;
+  if (operators.timeline.on && !operators.timeline.listen.empty() && !listen)
+    throw Malformed("timeline.listen is not an IP address and port");
   const auto& sites = operators.sites;
   if (!sites.evacuate.empty() && look_up(zones_, sites.evacuate) == kNone)
     throw Malformed("sites.evacuate: there is no site " + sites.evacuate);
   std::unique_ptr<TimelineServer> server;
-  const auto moved = !server_ || operators.timeline.listen != before.timeline.listen;
-  if (at && moved)
+  const auto listen_changed = !server_ || operators.timeline.listen != before.timeline.listen;
+  if (listen && listen_changed)
     server = std::make_unique<TimelineServer>(
-        context_, due_, *at, operators.timeline.readers,
+        context_, timers_, *listen, operators.timeline.readers,
         [this] { return recorder_ ? &recorder_->timeline() : nullptr; },
         [this] { return version_reporter_.view(); });
-  if (!at || server) server_ = std::move(server);
+  if (!listen || server) server_ = std::move(server);
   if (server_) server_->bound(operators.timeline.readers);
-  // The end of a writer waits for its disk: it goes on where nothing of it changes.
-  const auto same_segments = same && operators.segments == before.segments;
+  // Stopping the segment writer waits for its disk, so keep it if none of its settings change.
+  const auto same_segments = same_recorder && operators.segments == before.segments;
   config_.operators = operators;
-  const auto began = now();
+  const auto applied_at = now();
   version_reporter_.configure(operators.fleet, server_ != nullptr);
   queries_.sites().on(sites.on);
-  queries_.sites().evacuate(sites.evacuate.empty()
-                                ? std::nullopt
-                                : std::optional(Evacuation{look_up(zones_, sites.evacuate), began, sites.over,
-                                                           evacuated_until_.to_monotonic(
-                                                               WallTime{sites.until}, WallTime::now(), began),
-                                                           next_tick_ <= 0}));
+  queries_.sites().evacuate(
+      sites.evacuate.empty()
+          ? std::nullopt
+          : std::optional(
+                Evacuation{look_up(zones_, sites.evacuate), applied_at, sites.over,
+                           evacuated_until_.to_monotonic(WallTime{sites.until}, WallTime::now(), applied_at),
+                           next_tick_at_ <= 0}));
   if (!operators.timeline.on) {
     queries_.witness(nullptr);
     recorder_.reset();
     segments_.reset();
     return;
   }
-  if (!same) {
+  if (!same_recorder) {
     const Timeline::Budget budget{operators.timeline.memory, operators.timeline.fine,
                                   operators.timeline.lines};
-    recorder_ = std::make_unique<Recorder>(budget, departure_limits(operators, config_.settings),
-                                           operators.departures.on,
-                                           static_cast<int>(config_.verticals.size()), began, unix_at_zero());
+    recorder_ = std::make_unique<Recorder>(
+        budget, departure_limits(operators, config_.settings), operators.departures.on,
+        static_cast<int>(config_.verticals.size()), applied_at, unix_at_zero());
     queries_.witness(recorder_.get());
-    versions_at_ = 0;
+    next_version_events_at_ = 0;
   }
   if (same_segments) return;
   segments_.reset();
-  disk_failures_ = 0;
+  last_segment_failures_ = 0;
   if (!operators.segments.folder.empty()) {
     const auto& s = operators.segments;
     segments_ = std::make_unique<Segments>(SegmentLimits{s.folder, s.size, s.total, s.age, s.queue},
@@ -302,28 +308,28 @@
     recorder_->timeline().also = nullptr;
     recorder_->timeline().also_line = nullptr;
   }
-  begin_lines(began);
+  record_known_nodes(applied_at);
 }
 
-// The nodes that are known already.
-void Router::begin_lines(double at) {
+// Starts the timeline's record of the nodes that are listed already.
+void Router::record_known_nodes(double at) {
   for (const auto& member : members_.list().members) {
-    const auto node = nodes_.find(member.id);
-    if (node == nodes_.end() || member.gone) continue;
+    const auto node = node_numbers_.find(member.id);
+    if (node == node_numbers_.end() || member.gone) continue;
     recorder_->listed(node->second, member.id,
                       fmt::format("{}:{}", member.at.address().to_string(), member.at.port()), member.up,
-                      born(member), members_.list().version, at);
+                      started_at(member), members_.list().version, at);
   }
 }
 
-// The file is taken whole or, with every problem told, not at all.
+// Applies the whole file, or nothing of it and logs every problem.
 bool Router::reload_operators() {
   if (config_.operators_path.empty()) return true;
   try {
-    const auto fresh = load_operators(config_.operators_path, config_.memory_bytes);
-    watch_over(fresh);
-    version_reporter_.set_file_version(Subject::operators, fresh.hash, config_.operators_path, now());
-    log_.shape(log_form(fresh));
+    const auto loaded = load_operators(config_.operators_path, config_.memory_bytes);
+    apply_operators(loaded);
+    version_reporter_.set_file_version(Subject::operators, loaded.hash, config_.operators_path, now());
+    log_.shape(log_form(loaded));
     log_.line("operators_reloaded", "path=\"{}\"", config_.operators_path);
     return true;
   } catch (const BadOperators& bad) {
@@ -339,73 +345,78 @@
   return server_ ? std::optional(server_->at()) : std::nullopt;
 }
 
-void Router::observe(double at) {
+void Router::record_loop_events(double at) {
   if (!recorder_) return;
-  if (const auto late = at - next_tick_; late > kStandstillTickSeconds)
+  if (const auto late = at - next_tick_at_; late > kStandstillTickSeconds)
     recorder_->loop(What::stood_still, 0, late, 0, at);
   else if (late > kLateTickSeconds)
     recorder_->loop(What::ran_late, 0, late, 0, at);
-  const auto bound = [&](Bound which, long long now_at, long long& before) {
-    if (now_at > before)
-      recorder_->loop(What::at_bound, static_cast<std::uint8_t>(which), static_cast<double>(now_at - before),
+  const auto record_increase = [&](Bound which, long long total, long long& before) {
+    if (total > before)
+      recorder_->loop(What::at_bound, static_cast<std::uint8_t>(which), static_cast<double>(total - before),
                       0, at);
-    before = now_at;
+    before = total;
   };
-  bound(Bound::judged, queries_.unjudged(), unjudged_);
-  bound(Bound::log, log_.lost(), lines_lost_);
-  for (const auto& [id, node] : nodes_) recorder_->believed(node, queries_.belief(node, at), at);
-  if (segments_ && segments_->failures() > disk_failures_) {
-    disk_failures_ = segments_->failures();
+  record_increase(Bound::judged, queries_.unjudged(), last_unjudged_);
+  record_increase(Bound::log, log_.lost(), last_lost_lines_);
+  for (const auto& [id, node] : node_numbers_) recorder_->believed(node, queries_.belief(node, at), at);
+  if (segments_ && segments_->failures() > last_segment_failures_) {
+    last_segment_failures_ = segments_->failures();
     log_.line("segment_failed", "why=\"{}\" folder=\"{}\"", segments_->trouble(),
               config_.operators.segments.folder);
   }
-  for (const auto& news : recorder_->tick(at, unix_at_zero())) {
+  for (const auto& change : recorder_->tick(at, unix_at_zero())) {
     const auto vertical =
-        news.vertical == kNone ? "-" : config_.verticals[static_cast<std::size_t>(news.vertical)].c_str();
-    log_.line(news.returned ? "returned" : "departed",
+        change.vertical == kNone ? "-" : config_.verticals[static_cast<std::size_t>(change.vertical)].c_str();
+    log_.line(change.returned ? "returned" : "departed",
               "node={} kind={} vertical={} began={:.3f} evidence={:.4g} usual={:.4g}",
-              recorder_->name_of(news.node), why_name(What::departed, static_cast<std::uint8_t>(news.kind)),
-              vertical, news.began + unix_at_zero_, news.evidence, news.usual);
+              recorder_->name_of(change.node),
+              why_name(What::departed, static_cast<std::uint8_t>(change.kind)), vertical,
+              change.began + unix_at_zero_, change.evidence, change.usual);
   }
-  if (const auto every = config_.operators.timeline.reports; every > 0 && at >= reports_at_) {
-    reports_at_ = at + every;
+  if (const auto every = config_.operators.timeline.reports; every > 0 && at >= next_load_request_at_) {
+    next_load_request_at_ = at + every;
     pool_.ask_loads();
   }
 }
 
 void Router::update_sites() {
-  for (const auto& news : queries_.sites().news()) {
-    const auto& name_of = config_.zones[static_cast<std::size_t>(news.site)];
+  for (const auto& change : queries_.sites().news()) {
+    const auto& site_name = config_.zones[static_cast<std::size_t>(change.site)];
     log_.line(
         "site",
         "name={} state={} before={} lasted={:.3f} nodes={} bad={} refused={} evidence={:.1f} usual={:.2f} "
         "share={:.2f} cold={:d} held_back={:d}",
-        name_of, why_name(What::site, static_cast<std::uint8_t>(news.now)),
-        why_name(What::site, static_cast<std::uint8_t>(news.before)), news.lasted, news.nodes, news.bad,
-        news.refused, news.evidence, news.usual, news.share, news.cold, news.held_back);
-    if (recorder_) recorder_->site(name_of, news);
+        site_name, why_name(What::site, static_cast<std::uint8_t>(change.now)),
+        why_name(What::site, static_cast<std::uint8_t>(change.before)), change.lasted, change.nodes,
+        change.bad, change.refused, change.evidence, change.usual, change.share, change.cold,
+        change.held_back);
+    if (recorder_) recorder_->site(site_name, change);
   }
 }
 
-// A node at a site that is held for lost is no witness against the list.
+// Nodes in a lost site are excluded from the staleness check: that they refuse calls doesn't show that the
+// list is out of date.
 void Router::update_version_reporter(double at) {
   auto lost = false;
   for (std::size_t site = 0; site < zones_.size(); ++site) {
     const auto belief = queries_.sites().belief(static_cast<int>(site));
     lost = lost || belief == SiteBelief::lost || belief == SiteBelief::cut_off;
   }
-  hidden_.clear();
+  nodes_in_lost_sites_.clear();
   if (lost)
     for (const auto& member : members_.list().members) {
-      const auto node = nodes_.find(member.id);
+      const auto node = node_numbers_.find(member.id);
       const auto belief = queries_.sites().belief(look_up(zones_, member.zone));
-      if (node == nodes_.end() || (belief != SiteBelief::lost && belief != SiteBelief::cut_off)) continue;
-      hidden_.resize(std::max(hidden_.size(), static_cast<std::size_t>(node->second) + 1));
-      hidden_[static_cast<std::size_t>(node->second)] = true;
+      if (node == node_numbers_.end() || (belief != SiteBelief::lost && belief != SiteBelief::cut_off))
+        continue;
+      nodes_in_lost_sites_.resize(
+          std::max(nodes_in_lost_sites_.size(), static_cast<std::size_t>(node->second) + 1));
+      nodes_in_lost_sites_[static_cast<std::size_t>(node->second)] = true;
     }
-  version_reporter_.tick(phase_ == Phase::draining, lost, hidden_, at);
-  if (!recorder_ || at < versions_at_) return;
-  versions_at_ = at + kVersionEventIntervalSeconds;
+  version_reporter_.tick(phase_ == Phase::draining, lost, nodes_in_lost_sites_, at);
+  if (!recorder_ || at < next_version_events_at_) return;
+  next_version_events_at_ = at + kVersionEventIntervalSeconds;
   for (std::size_t i = 0; i < kSubjects; ++i)
     if (const auto subject = static_cast<Subject>(i); version_reporter_.versions().version(subject).epoch > 0)
       recorder_->version(subject, version_reporter_.versions().version(subject),
@@ -435,11 +446,10 @@
   if (recorder_) recorder_->load_answered(node, now());
   if (!recorder_ || text == "-" || text == "failed") return;
   const auto at = now();
-  const auto report = read_report(text);
+  const auto report = parse_load_report(text);
   if (!report) return recorder_->reported(node, 0, 0, 0, Report::unreadable, at);
-  // Without a time of its own a report is as old as the question at most, and may be older: that is all there
-  // is.
-  const auto measured = report->unix > 0 ? std::min(report->unix - unix_at_zero_, at) : asked;
+  // A report that doesn't state its time counts as measured when it was requested, though it may be older.
+  const auto measured = report->unix_seconds > 0 ? std::min(report->unix_seconds - unix_at_zero_, at) : asked;
   recorder_->reported(node, report->in_flight, report->queue, measured, Report::fresh, at);
 }
 
@@ -450,7 +460,8 @@
                     now());
 }
 
-void Router::door(What what, std::uint8_t why, int connection, std::uint32_t address, double a, double b) {
+void Router::ingress_event(What what, std::uint8_t why, int connection, std::uint32_t address, double a,
+                           double b) {
   if (recorder_) recorder_->door(what, why, connection, address, a, b, now());
 }
 
@@ -458,191 +469,194 @@
 
 void Router::tick() {
   const auto at = now();
-  const auto waits = reads_first(at);
-  if (!waits) {
-    observe(at);
-    next_tick_ = at + queries_.period();
-    queries_.tick(at);  // the list is always followed: it need not be asked for
+  const auto read_first = must_read_first(at);
+  if (!read_first) {
+    record_loop_events(at);
+    next_tick_at_ = at + queries_.period();
+    queries_.tick(at);  // the result, a request for the list, is not needed: the watch delivers it
     update_sites();
     update_version_reporter(at);
     log_.sum_up(at);
     log_counters(at);
-    turn();
-    let_go();
+    run_turn();
+    release_node_numbers();
   }
-  tick_timer_.expires_after(until(waits ? at + StandstillDetector::kReadRoundSeconds : next_tick_));
+  tick_timer_.expires_after(
+      time_left(read_first ? at + StandstillDetector::kReadRoundSeconds : next_tick_at_));
   tick_timer_.async_wait([this](const auto& error) {
     if (!error) tick();
   });
 }
 
-void Router::wake() {
-  if (woken_) return;
-  woken_ = true;
-  asio::post(context_, [this] { turn(); });
+void Router::schedule_turn() {
+  if (turn_scheduled_) return;
+  turn_scheduled_ = true;
+  asio::post(context_, [this] { run_turn(); });
 }
 
-// All that has come in since the last turn is told to the queries, and what they want is sent off.
-void Router::turn() {
-  woken_ = false;
+// Passes what has arrived since the last turn to the queries, then sends what they decide.
+void Router::run_turn() {
+  turn_scheduled_ = false;
   const auto at = now();
-  if (reads_first(at)) return due_after(at + StandstillDetector::kReadRoundSeconds);
+  if (must_read_first(at)) return set_timer(at + StandstillDetector::kReadRoundSeconds);
   in_turn_ = true;
-  take_turn(at);
+  process_turn(at);
   in_turn_ = false;
-  arm();
+  arm_timer();
 }
 
-void Router::take_turn(double at) {
-  for (auto& news : std::exchange(news_, {})) {
-    const auto held = held_.find(news.ref.query);
-    if (held == held_.end()) continue;
+void Router::process_turn(double at) {
+  for (auto& result : std::exchange(call_results_, {})) {
+    const auto query_state = pending_queries_.find(result.ref.query);
+    if (query_state == pending_queries_.end()) continue;
     --pending_calls_;
-    if (news.outcome == Outcome::success) keep(held->second, news.ref.leaf, std::move(news.value));
-    queries_.outcome(news.ref.query, news.ref.leaf, news.ref.call, news.outcome, news.score, at);
+    if (result.outcome == Outcome::success)
+      store_value(query_state->second, result.ref.leaf, std::move(result.value));
+    queries_.outcome(result.ref.query, result.ref.leaf, result.ref.call, result.outcome, result.score, at);
   }
   queries_.finish(at);
-  if (!merged_first_.empty()) {
-    for (const auto query : std::exchange(merged_first_, {})) take_second_step(query, at);
+  if (!merged_first_steps_.empty()) {
+    for (const auto query : std::exchange(merged_first_steps_, {})) start_second_step(query, at);
     queries_.finish(at);
   }
   pool_.flush();
-  wind_up(at);
+  advance_shutdown(at);
 }
 
-bool Router::reads_first(double at) {
+bool Router::must_read_first(double at) {
   return standstill_.must_read_first(at, [this] { return watch_.unread(); });
 }
 
-void Router::arm() {
-  due_after(due_.next());
+void Router::arm_timer() {
+  set_timer(timers_.next());
 }
 
-void Router::due_after(double next) {
-  if (next == armed_) return;
-  armed_ = next;
+void Router::set_timer(double next) {
+  if (next == timer_at_) return;
+  timer_at_ = next;
   if (!std::isfinite(next)) return;
-  due_timer_.expires_after(until(next));
-  due_timer_.async_wait([this](const auto& error) {
+  timer_.expires_after(time_left(next));
+  timer_.async_wait([this](const auto& error) {
     if (error) return;
-    armed_ = 0;
-    turn();
+    timer_at_ = 0;
+    run_turn();
   });
 }
 
 void Router::log_counters(double at) {
-  if (at < figures_at_) return;
-  figures_at_ = at + kCountersLogSeconds;
+  if (at < next_counters_log_at_) return;
+  next_counters_log_at_ = at + kCountersLogSeconds;
   log_.line("figures",
             "taken={} merged={} rejected={} aborted={} left={} bad={} in_hand={} open={} clients={} nodes={}",
-            figures_.taken, figures_.merged, figures_.rejected, figures_.aborted, figures_.left, figures_.bad,
-            by_client_.size(), open_, clients_.connections(), pool_.connections());
+            counters_.accepted, counters_.merged, counters_.rejected, counters_.aborted,
+            counters_.disconnected, counters_.bad_requests, query_by_connection_.size(), open_count_,
+            clients_.connections(), pool_.connections());
 }
 
 // --- clients
 
-void Router::asked(int connection, const ClientConnection::Request& request) {
+void Router::request_received(int connection, const ClientConnection::Request& request) {
   try {
     if (request.target() == "/_health") {
       if (request.method() != boost::beast::http::verb::get) throw BadRequest(405, "health is a GET");
-      const auto takes = phase_ == Phase::serving && version_reporter_.healthy();
-      clients_.answer(connection, takes ? 200 : 503,
-                      takes || phase_ != Phase::serving ? name(phase_) : "aside");
+      const auto healthy = phase_ == Phase::serving && version_reporter_.healthy();
+      clients_.answer(connection, healthy ? 200 : 503,
+                      healthy || phase_ != Phase::serving ? name(phase_) : "aside");
       return;
     }
-    auto ask = read_ask(request, asked_);
-    // The answers of nodes name it: those to one query would pass for those to the other.
-    if (open_ids_.contains(ask.id)) throw BadRequest(409, "X-Txn names a query that is open");
-    take(connection, std::move(ask));
+    auto query = parse_query_request(request, query_schema_);
+    // Nodes' answers are matched by this id: an answer to one query would be taken for one to the other.
+    if (open_ids_.contains(query.id)) throw BadRequest(409, "X-Txn names a query that is open");
+    accept_query(connection, std::move(query));
   } catch (const BadRequest& error) {
-    ++figures_.bad;
+    ++counters_.bad_requests;
     log_.line("bad_request", "status={} why=\"{}\"", error.status, error.what());
     clients_.answer(connection, error.status, error.what());
   }
 }
 
-void Router::take(int connection, Ask ask) {
+void Router::accept_query(int connection, QueryRequest request) {
   const auto at = now();
-  const auto number = ++last_query_;
-  ++figures_.taken;
-  Query q;
-  q.vertical = ask.vertical;
-  q.expires = at + ask.remaining;
-  // What comes so late must not be found without its answer by SIGKILL.
-  if (phase_ == Phase::draining) q.expires = std::min(q.expires, shutdown_.answer_deadline());
-  q.client_retry = ask.client_retry;
-  const auto no_room = open_ >= config_.bounds.max_open;
+  const auto number = ++last_query_number_;
+  ++counters_.accepted;
+  Query query;
+  query.vertical = request.vertical;
+  query.expires = at + request.remaining;
+  // A query that arrives this late must be answered before SIGKILL.
+  if (phase_ == Phase::draining) query.expires = std::min(query.expires, shutdown_.answer_deadline());
+  query.client_retry = request.client_retry;
+  const auto no_room = open_count_ >= config_.bounds.max_open;
   if (no_room || version_reporter_.rejects_new_query(at))
-    q.barred = no_room ? Reason::no_room : Reason::shut_out;
-  for (const auto& target : ask.targets) q.work += target.work;
-  auto& held = held_[number];
-  held.client = connection;
-  held.vertical = ask.vertical;
-  held.taken = at;
-  held.text = std::make_shared<const std::string>(std::move(ask.text));
-  held.key = std::move(ask.key);
-  held.id = ask.id;
-  by_client_[connection] = number;
-  open_ids_.insert(ask.id);
-  ++open_;
+    query.barred = no_room ? Reason::no_room : Reason::shut_out;
+  for (const auto& target : request.targets) query.work += target.work;
+  auto& query_state = pending_queries_[number];
+  query_state.connection = connection;
+  query_state.vertical = request.vertical;
+  query_state.accepted_at = at;
+  query_state.text = std::make_shared<const std::string>(std::move(request.text));
+  query_state.key = std::move(request.key);
+  query_state.id = request.id;
+  query_by_connection_[connection] = number;
+  open_ids_.insert(request.id);
+  ++open_count_;
   if (recorder_) {
-    recorder_->taken(number, ask.id, ask.vertical, at);
+    recorder_->taken(number, request.id, request.vertical, at);
     if (no_room)
-      recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::queries), open_,
+      recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::queries), open_count_,
                       config_.bounds.max_open, at);
   }
-  queries_.take(number, std::move(q), at);
-  for (const auto& target : ask.targets) {
+  queries_.take(number, std::move(query), at);
+  for (const auto& target : request.targets) {
     queries_.take_part(number, {target.shard, target.share, target.work, 1, false, {}}, at);
-    held.parts.push_back({ask.id + "." + std::to_string(target.shard), target.shard, false, {}});
-    ++open_;
+    query_state.parts.push_back({request.id + "." + std::to_string(target.shard), target.shard, false, {}});
+    ++open_count_;
   }
-  wake();
+  schedule_turn();
 }
 
-void Router::left(int connection) {
-  const auto at = by_client_.find(connection);
-  if (at == by_client_.end()) return;
-  ++figures_.left;
+void Router::client_disconnected(int connection) {
+  const auto at = query_by_connection_.find(connection);
+  if (at == query_by_connection_.end()) return;
+  ++counters_.disconnected;
   const auto query = at->second;
   queries_.gone(query);
-  done_with(query);
-  wake();
+  release_query(query);
+  schedule_turn();
 }
 
-// The query has its final answer, or nobody waits for one.
-void Router::done_with(long long query) {
-  auto& held = held_.at(query);
-  by_client_.erase(held.client);
-  open_ids_.erase(held.id);
-  open_ -= 1 + static_cast<int>(held.parts.size());
-  held.open = false;
+// Call when the query has its final answer or its client has disconnected.
+void Router::release_query(long long query) {
+  auto& query_state = pending_queries_.at(query);
+  query_by_connection_.erase(query_state.connection);
+  open_ids_.erase(query_state.id);
+  open_count_ -= 1 + static_cast<int>(query_state.parts.size());
+  query_state.awaits_answer = false;
   pool_.drop_unsent(query);
 }
 
-void Router::answer(long long query, int status, std::string_view body, double retry_after) {
-  auto& held = held_.at(query);
-  if (!held.open) return;
-  const auto client = held.client;
-  done_with(query);
+void Router::send_answer(long long query, int status, std::string_view body, double retry_after) {
+  auto& query_state = pending_queries_.at(query);
+  if (!query_state.awaits_answer) return;
+  const auto client = query_state.connection;
+  release_query(query);
   clients_.answer(client, status, body, retry_after);
 }
 
-// --- what the queries want
+// --- actions of the queries
 
 void Router::send(long long query, const Send& send, int call) {
-  auto& held = held_.at(query);
-  ++held.calls;
+  auto& query_state = pending_queries_.at(query);
+  ++query_state.call_count;
   ++pending_calls_;
-  version_reporter_.versions().sent(held.vertical, act_of(send.why.reason), send.node, now());
+  version_reporter_.versions().sent(query_state.vertical, act_for(send.why.reason), send.node, now());
   const auto leaf = static_cast<std::size_t>(send.leaf);
-  const auto& part = held.parts[leaf];
+  const auto& part = query_state.parts[leaf];
   std::string options;
-  if (!held.key.empty()) options += ",k=" + held.key;
-  if (send.leaf >= held.second_from) options += held.first_step;
+  if (!query_state.key.empty()) options += ",k=" + query_state.key;
+  if (send.leaf >= query_state.second_step_begin) options += query_state.second_step_options;
   pool_.send(send.node, send.group,
-             {{query, send.leaf, call}, part.id, part.shard, std::move(options), held.text}, send.timeout,
-             send.by);
+             {{query, send.leaf, call}, part.id, part.shard, std::move(options), query_state.text},
+             send.timeout, send.by);
 }
 
 void Router::cancel(long long query, const Cancel& cancel) {
@@ -650,103 +664,105 @@
 }
 
 void Router::merge(long long query, bool whole) {
-  auto& held = held_.at(query);
+  auto& query_state = pending_queries_.at(query);
   if (queries_.awaits_parts(query)) {
-    held.first_step = fmt::format(",whole={:d}", whole);
-    merged_first_.push_back(query);
+    query_state.second_step_options = fmt::format(",whole={:d}", whole);
+    merged_first_steps_.push_back(query);
     return;
   }
-  ++figures_.merged;
-  version_reporter_.versions().answered(held.vertical, whole ? Act::whole : Act::part);
-  std::vector<Result> results;
-  for (std::size_t i = static_cast<std::size_t>(held.second_from < kFirstOnly ? held.second_from : 0);
-       i < held.parts.size(); ++i)
-    if (held.parts[i].in) results.push_back({held.parts[i].shard, held.parts[i].value});
-  answer(query, 200, answer_body(whole, results));
+  ++counters_.merged;
+  version_reporter_.versions().answered(query_state.vertical, whole ? Act::whole : Act::part);
+  std::vector<PartResult> results;
+  for (std::size_t i = static_cast<std::size_t>(
+           query_state.second_step_begin < kNoSecondStep ? query_state.second_step_begin : 0);
+       i < query_state.parts.size(); ++i)
+    if (query_state.parts[i].answered)
+      results.push_back({query_state.parts[i].shard, query_state.parts[i].value});
+  send_answer(query, 200, response_body(whole, results));
 }
 
 void Router::reject(long long query, double stay_away, const Why& why) {
-  ++figures_.rejected;
-  version_reporter_.versions().answered(held_.at(query).vertical, Act::rejected);
+  ++counters_.rejected;
+  version_reporter_.versions().answered(pending_queries_.at(query).vertical, Act::rejected);
   log_outcome("rejected", query, why);
-  answer(query, 503, "rejected", stay_away);
+  send_answer(query, 503, "rejected", stay_away);
 }
 
 void Router::abort(long long query, const Why& why) {
-  ++figures_.aborted;
-  version_reporter_.versions().answered(held_.at(query).vertical, Act::aborted);
+  ++counters_.aborted;
+  version_reporter_.versions().answered(pending_queries_.at(query).vertical, Act::aborted);
   log_outcome("aborted", query, why);
-  answer(query, 500, "aborted");
+  send_answer(query, 500, "aborted");
 }
 
 void Router::log_outcome(std::string_view end, long long query, const Why& why) {
-  const auto& held = held_.at(query);
-  const auto in =
-      std::count_if(held.parts.begin(), held.parts.end(), [](const Part& part) { return part.in; });
+  const auto& query_state = pending_queries_.at(query);
+  const auto answered = std::count_if(query_state.parts.begin(), query_state.parts.end(),
+                                      [](const Part& part) { return part.answered; });
   log_.line(
       end,
       "query={} vertical={} age={:.3f} parts={} in={} calls={} open={} why={} a={:.3f} b={:.3f} c={:.3f}",
-      held.id, config_.verticals[static_cast<std::size_t>(held.vertical)], now() - held.taken,
-      held.parts.size(), in, held.calls, open_, why_name(What::ended, static_cast<std::uint8_t>(why.reason)),
-      why.a, why.b, why.c);
+      query_state.id, config_.verticals[static_cast<std::size_t>(query_state.vertical)],
+      now() - query_state.accepted_at, query_state.parts.size(), answered, query_state.call_count,
+      open_count_, why_name(What::ended, static_cast<std::uint8_t>(why.reason)), why.a, why.b, why.c);
 }
 
 void Router::forget(long long query) {
-  held_.erase(query);
+  pending_queries_.erase(query);
 }
 
-void Router::take_second_step(long long query, double at) {
+void Router::start_second_step(long long query, double at) {
   if (!queries_.awaits_parts(query)) return;
-  auto& held = held_.at(query);
+  auto& query_state = pending_queries_.at(query);
   const auto chosen = queries_.second_step(query);
   std::string from;
-  for (const auto& part : held.parts)
-    if (part.in) from += fmt::format("{}{}", from.empty() ? "" : "+", part.shard);
-  held.first_step = ",from=" + from + held.first_step;
-  held.second_from = static_cast<int>(held.parts.size());
-  held.bytes = 0;
-  for (auto& part : held.parts) part.value.clear();
+  for (const auto& part : query_state.parts)
+    if (part.answered) from += fmt::format("{}{}", from.empty() ? "" : "+", part.shard);
+  query_state.second_step_options = ",from=" + from + query_state.second_step_options;
+  query_state.second_step_begin = static_cast<int>(query_state.parts.size());
+  query_state.value_bytes = 0;
+  for (auto& part : query_state.parts) part.value.clear();
   for (const auto leaf : chosen) {
-    const auto shard = held.parts[static_cast<std::size_t>(leaf)].shard;
+    const auto shard = query_state.parts[static_cast<std::size_t>(leaf)].shard;
     const auto weight = 1.0 / static_cast<double>(chosen.size());
     queries_.take_part(query, {shard, weight, 0, 2, false, {}}, at);
-    held.parts.push_back({fmt::format("{}.{}.p2", held.id, shard), shard, false, {}});
-    ++open_;
+    query_state.parts.push_back({fmt::format("{}.{}.p2", query_state.id, shard), shard, false, {}});
+    ++open_count_;
   }
 }
 
 // --- data nodes
 
 void Router::call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) {
-  news_.push_back({ref, outcome, score, std::string(value)});
-  wake();
+  call_results_.push_back({ref, outcome, score, std::string(value)});
+  schedule_turn();
 }
 
-void Router::keep(Held& held, int leaf, std::string value) {
-  auto& part = held.parts[static_cast<std::size_t>(leaf)];
-  if (!held.open || part.in) return;
-  part.in = true;
-  held.bytes += value.size();
-  // Values that fit no answer together are not kept: the answer is then refused for its size.
-  if (held.bytes <= kLargestBody) part.value = std::move(value);
+void Router::store_value(PendingQuery& query, int leaf, std::string value) {
+  auto& part = query.parts[static_cast<std::size_t>(leaf)];
+  if (!query.awaits_answer || part.answered) return;
+  part.answered = true;
+  query.value_bytes += value.size();
+  // Values that exceed the size of an answer are not kept; the answer is then refused for its size.
+  if (query.value_bytes <= kMaxBodyBytes) part.value = std::move(value);
 }
 
 // --- discovery
 
 void Router::listed(const MemberList& list) {
   members_.apply(list);
-  version_reporter_.set_list(members_.list(), list.full, text_of(discovery_now_), now());
+  version_reporter_.set_list(members_.list(), list.full, endpoint_text(current_discovery_), now());
   std::vector<Host> hosts;
   std::set<int> present;
   std::size_t ready = 0;
   for (const auto& member : list.members) {
-    if (member.gone && !nodes_.contains(member.id)) continue;
-    const auto node = number_of(member.id);
+    if (member.gone && !node_numbers_.contains(member.id)) continue;
+    const auto node = node_number(member.id);
     if (node == kNone) {
-      log_.line("node_unknown", "id={} known={}", member.id, nodes_.size());
+      log_.line("node_unknown", "id={} known={}", member.id, node_numbers_.size());
       continue;
     }
-    const auto started = born(member);
+    const auto started = started_at(member);
     hosts.push_back({node, look_up(zones_, member.zone), member.cell, member.up, started});
     present.insert(node);
     version_reporter_.set_member(node, member);
@@ -760,53 +776,54 @@
     }
     if (member.gone) {
       pool_.leave(node);
-      leaving_.emplace(member.id, node);
+      removed_nodes_.emplace(member.id, node);
     } else {
       pool_.locate(node, member.at, started, member.up);
-      leaving_.erase(member.id);
+      removed_nodes_.erase(member.id);
     }
     if (member.up) ++ready;
   }
   if (list.full)
-    for (const auto& [id, node] : nodes_)
-      if (!present.contains(node) && leaving_.emplace(id, node).second) {
+    for (const auto& [id, node] : node_numbers_)
+      if (!present.contains(node) && removed_nodes_.emplace(id, node).second) {
         pool_.leave(node);
         if (recorder_) recorder_->left(node, list.version, now());
       }
   queries_.list(hosts, list.full, now());
   log_.line("list", "version={} full={} entries={} ready={}", list.version, list.full, list.members.size(),
             ready);
-  if (phase_ == Phase::starting && ready > 0) enter(Phase::serving);
-  wake();
+  if (phase_ == Phase::starting && ready > 0) enter_phase(Phase::serving);
+  schedule_turn();
 }
 
-double Router::born(const Member& member) {
+double Router::started_at(const Member& member) {
   return node_ages_.born(member.id, member.started, now(), WallTime::now());
 }
 
-int Router::number_of(const std::string& node) {
-  if (const auto at = nodes_.find(node); at != nodes_.end()) return at->second;
-  if (nodes_.size() >= kMaxTrackedNodes) return kNone;
-  auto number = static_cast<int>(nodes_.size() + spare_.size());
-  if (!spare_.empty()) {
-    number = spare_.back();
-    spare_.pop_back();
+int Router::node_number(const std::string& node) {
+  if (const auto at = node_numbers_.find(node); at != node_numbers_.end()) return at->second;
+  if (node_numbers_.size() >= kMaxTrackedNodes) return kNone;
+  auto number = static_cast<int>(node_numbers_.size() + free_node_numbers_.size());
+  if (!free_node_numbers_.empty()) {
+    number = free_node_numbers_.back();
+    free_node_numbers_.pop_back();
   }
-  nodes_.emplace(node, number);
+  node_numbers_.emplace(node, number);
   return number;
 }
 
-// Nodes are replaced by others under new names all day: the number of one that is gone is given again once
-// nothing is out there, else tables and the work on them would grow without end.
-void Router::let_go() {
-  if (!news_.empty()) return;  // their queries have not been told of it yet
-  std::erase_if(leaving_, [this](const auto& gone) {
-    if (pool_.holds(gone.second)) return false;
-    queries_.forget_node(gone.second);
-    if (recorder_) recorder_->forgotten(gone.second, now());
-    spare_.push_back(gone.second);
-    node_ages_.left(gone.first);
-    nodes_.erase(gone.first);
+// Releases the numbers of removed nodes that have no connection any more. Nodes are continually replaced by
+// others with new names; without reuse of their numbers, tables and the work on them would grow without
+// bound.
+void Router::release_node_numbers() {
+  if (!call_results_.empty()) return;  // the queries still refer to these nodes by number
+  std::erase_if(removed_nodes_, [this](const auto& removed) {
+    if (pool_.holds(removed.second)) return false;
+    queries_.forget_node(removed.second);
+    if (recorder_) recorder_->forgotten(removed.second, now());
+    free_node_numbers_.push_back(removed.second);
+    node_ages_.left(removed.first);
+    node_numbers_.erase(removed.first);
     return true;
   });
 }
@@ -821,15 +838,16 @@
   version_reporter_.versions().heard(now());
 }
 
-// What merely comes again says nothing. A count that has begun anew says that all that is held may be of
-// another list: without asking for the whole one every further change would be passed over, unheard, until
-// the count had caught up, and a node drained meanwhile sent to for minutes.
+// Called for a change that is ignored, as its count is not above the current one. An equal count is a repeat.
+// A lower one shows that discovery has restarted its count, so that the current list may be out of date:
+// without requesting the whole list, all further changes would be ignored until the count has caught up, and
+// a node drained meanwhile would get parts for minutes.
 void Router::passed_over(const MemberList& list) {
   if (list.members.empty() || list.version >= members_.list().version) return;
   const auto at = now();
   version_reporter_.versions().passed_over(list.version, at);
-  if (at < ask_again_at_) return;
-  ask_again_at_ = at + kMinFullListIntervalSeconds;
+  if (at < next_full_list_request_at_) return;
+  next_full_list_request_at_ = at + kMinFullListIntervalSeconds;
   log_.line("list_again", "count={} held={}", list.version, members_.list().version);
   watch_.ask_again();
 }
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -1,4 +1,4 @@
-// The router: owns the connections and the queries in hand, and carries what is read from one to the other.
+// The router: owns the connections and the queries in progress, and passes events from one to the other.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -31,10 +31,13 @@
 
 namespace yoketurn {
 
-class Router : private Actions, private Pool::Listener, private Listener::Asker, private Watch::Listener {
+class Router : private Actions,
+               private Pool::Listener,
+               private ClientListener::RequestHandler,
+               private Watch::Listener {
  public:
-  // starting: not yet a node to send to. serving. draining: told to stop; goes on answering on the
-  // connections it has, then closes them and answers what it holds. stopped: owes nothing.
+  // starting: no data node is ready yet. draining: asked to stop; first serves its open connections as usual,
+  // then closes each after the answer that is pending on it. stopped: every request is answered.
   enum class Phase { starting, serving, draining, stopped };
 
   Router(boost::asio::io_context& context, const Config& config, Log& log);
@@ -46,40 +49,41 @@
 
   void start();
   void drain();
-  void reload();  // reads its configuration again and follows what of it can change while it runs
+  void reload();  // reads the configuration again and applies what can change while the router runs
   Phase phase() const { return phase_; }
-  const Recorder* recorder() const { return recorder_.get(); }  // nullptr: no time line is kept
+  const Recorder* recorder() const { return recorder_.get(); }  // nullptr: no timeline is kept
   std::optional<boost::asio::ip::tcp::endpoint> timeline_endpoint() const;
-  std::size_t pending_calls() const { return pending_calls_; }
+  std::size_t pending_calls() const { return pending_calls_; }  // without an outcome
   boost::asio::ip::tcp::endpoint client_endpoint() const { return clients_.endpoint(); }
 
  private:
-  static constexpr int kFirstOnly = std::numeric_limits<int>::max();
+  static constexpr int kNoSecondStep = std::numeric_limits<int>::max();  // as the index of its first part
   struct Part {
     std::string id;
     int shard = 0;
-    bool in = false;
+    bool answered = false;
     std::string value;
   };
-  // What of a query only the connections need.
-  struct Held {
-    int client = 0;
+  // The state of a query that only the connections need.
+  struct PendingQuery {
+    int connection = 0;  // of the client
     int vertical = 0;
-    double taken = 0;
-    int calls = 0;
-    bool open = true;  // its answer is owed
+    double accepted_at = 0;
+    int call_count = 0;
+    bool awaits_answer = true;  // the client has no answer yet and is still connected
     std::string id;
-    std::string key;
+    std::string key;  // idempotency key; empty: the query isn't deduplicated
     std::shared_ptr<const std::string> text;
     std::vector<Part> parts;
-    int second_from = kFirstOnly;  // parts from here on are of the second step
-    std::string first_step;        // what these are told of the first
-    std::size_t bytes = 0;         // of the values
+    int second_step_begin = kNoSecondStep;  // parts from this index on belong to the second step
+    std::string second_step_options;        // sent with these parts: what came of the first step
+    std::size_t value_bytes = 0;            // of all stored values
   };
-  struct Figures {
-    long long taken = 0, merged = 0, rejected = 0, aborted = 0, left = 0, bad = 0;
+  struct Counters {
+    // disconnected: queries whose client disconnected first.
+    long long accepted = 0, merged = 0, rejected = 0, aborted = 0, disconnected = 0, bad_requests = 0;
   };
-  struct News {
+  struct CallResult {
     CallRef ref;
     Outcome outcome;
     double score;
@@ -100,94 +104,95 @@
   void load_asked(int node) override;
   void reported(int node, std::string_view report, double asked) override;
   void no_room() override;
-  void door(What what, std::uint8_t why, int connection, std::uint32_t address, double a, double b) override;
-  void asked(int connection, const ClientConnection::Request& request) override;
-  void left(int connection) override;
+  void ingress_event(What what, std::uint8_t why, int connection, std::uint32_t address, double a,
+                     double b) override;
+  void request_received(int connection, const ClientConnection::Request& request) override;
+  void client_disconnected(int connection) override;
   void listed(const MemberList& list) override;
-  double born(const Member& member);
+  double started_at(const Member& member);
   void watch_lost() override;
   void watch_heard() override;
   void passed_over(const MemberList& list) override;
   void unusable() override;
-  int number_of(const std::string& node);  // kNone: there is no room for it
-  void let_go();
+  int node_number(const std::string& node);  // kNone: too many nodes are tracked
+  void release_node_numbers();
 
-  void watch_over(const Operators& operators);  // throws if it can't; then all is as it was
-  void begin_lines(double at);
-  void observe(double at);
+  // Applies the operators' settings. Throws if that isn't possible; nothing has changed then.
+  void apply_operators(const Operators& operators);
+  void record_known_nodes(double at);
+  void record_loop_events(double at);
   void update_sites();
   void update_version_reporter(double at);
-  bool reload_operators();  // whether they were taken, where there are any
-
-  void take(int connection, Ask ask);
-  void take_second_step(long long query, double at);
-  void keep(Held& held, int leaf, std::string value);
-  void done_with(long long query);
-  void answer(long long query, int status, std::string_view body, double retry_after = 0);
-  void wake();
-  void turn();
-  void take_turn(double at);
-  bool reads_first(double at);
-  void arm();
-  void due_after(double next);
+  bool reload_operators();  // false: the file could not be used and the previous settings stay
+
+  void accept_query(int connection, QueryRequest request);
+  void start_second_step(long long query, double at);
+  void store_value(PendingQuery& query, int leaf, std::string value);
+  void release_query(long long query);
+  void send_answer(long long query, int status, std::string_view body, double retry_after = 0);
+  void schedule_turn();
+  void run_turn();
+  void process_turn(double at);
+  bool must_read_first(double at);
+  void arm_timer();
+  void set_timer(double next);
   void tick();
   void await_signal();
-  void enter(Phase phase);
-  void wind_up(double at);
+  void enter_phase(Phase phase);
+  void advance_shutdown(double at);
   void log_counters(double at);
   void log_outcome(std::string_view end, long long query, const Why& why);
 
   boost::asio::io_context& context_;
   Log& log_;
   Config config_;
-  Asked asked_;
+  QuerySchema query_schema_;
   Names zones_;
-  double unix_at_zero_;
+  double unix_at_zero_;  // Unix time at the zero of the monotonic clock
   WallDeadline evacuated_until_;
   Phase phase_ = Phase::starting;
   Shutdown shutdown_;
-  bool woken_ = false;
+  bool turn_scheduled_ = false;
   bool in_turn_ = false;
-  double next_tick_ = 0;
-  double armed_ = 0;
+  double next_tick_at_ = 0;
+  double timer_at_ = 0;  // when timer_ expires; 0: it is not set
   StandstillDetector standstill_;
-  long long last_query_ = -1;
-  int open_ = 0;  // queries and parts in hand
-  std::unordered_map<long long, Held> held_;
-  std::unordered_map<int, long long> by_client_;
-  std::unordered_set<std::string> open_ids_;  // of the queries whose answer is owed
-  std::deque<News> news_;
-  std::vector<long long> merged_first_;
+  long long last_query_number_ = -1;
+  int open_count_ = 0;  // queries and parts in progress
+  std::unordered_map<long long, PendingQuery> pending_queries_;
+  std::unordered_map<int, long long> query_by_connection_;
+  std::unordered_set<std::string> open_ids_;   // of the queries that await an answer
+  std::deque<CallResult> call_results_;        // since the last turn
+  std::vector<long long> merged_first_steps_;  // queries whose second step starts this turn
   NodeAges node_ages_;
-  std::unordered_map<std::string, int> nodes_;
-  std::unordered_map<std::string, int> leaving_;  // those of them that are gone
-  std::vector<int> spare_;                        // numbers that nodes have had
-  Figures figures_;
-  double figures_at_ = 0;
-  std::size_t pending_calls_ = 0;  // without an outcome
+  std::unordered_map<std::string, int> node_numbers_;
+  std::unordered_map<std::string, int> removed_nodes_;  // no longer listed, numbers not released yet
+  std::vector<int> free_node_numbers_;                  // released, to be reused
+  Counters counters_;
+  double next_counters_log_at_ = 0;
+  std::size_t pending_calls_ = 0;
 
   VersionReporter version_reporter_;
-  boost::asio::ip::tcp::endpoint
-      discovery_now_;         // that is followed: an order may name another than the configuration
-  std::vector<bool> hidden_;  // nodes of sites that are held for lost
-  double ask_again_at_ = 0;   // from when on a count that runs backwards is asked about again
-  double versions_at_ = 0;    // when the time line is told them again
+  boost::asio::ip::tcp::endpoint current_discovery_;  // an order may name another one than the configuration
+  std::vector<bool> nodes_in_lost_sites_;             // by node number
+  double next_full_list_request_at_ = 0;              // earliest, after a list with a lower count
+  double next_version_events_at_ = 0;                 // for the timeline
 
   std::unique_ptr<Recorder> recorder_;
   std::unique_ptr<Segments> segments_;
   MemberTable members_;
-  double reports_at_ = 0;
-  long long unjudged_ = 0, lines_lost_ = 0;
-  int disk_failures_ = 0;
+  double next_load_request_at_ = 0;
+  long long last_unjudged_ = 0, last_lost_lines_ = 0;
+  int last_segment_failures_ = 0;
 
-  // These tell of what they hold when they end, so all that is told of outlives them.
-  DueTimes due_;
+  // Destroyed first: their destructors report to the members above.
+  DueTimes timers_;
   Queries queries_;
   Pool pool_;
-  yoketurn::Listener clients_;
+  ClientListener clients_;
   Watch watch_;
   std::unique_ptr<TimelineServer> server_;
-  boost::asio::steady_timer tick_timer_, due_timer_;
+  boost::asio::steady_timer tick_timer_, timer_;
   boost::asio::signal_set signals_;
 };
 
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -3,7 +3,7 @@
 #include <thread>
 
 #include "buffers/ring_buffer.hpp"
-#include "clients/bodies.hpp"
+#include "clients/http_messages.hpp"
 #include "datanodes/frames.hpp"
 #include "datanodes/pool.hpp"
 #include "discovery/list.hpp"
@@ -262,7 +262,7 @@
 }
 
 TEST_CASE("values are passed on as the nodes gave them") {
-  const auto body = answer_body(false, {{3, "5be2\"\\\n"}, {9, ""}});
+  const auto body = response_body(false, {{3, "5be2\"\\\n"}, {9, ""}});
   CHECK(body ==
         R"({"whole":false,"results":[{"partition":3,"value":"5be2\"\\\n"},{"partition":9,"value":""}]})");
 }
