--- a/tests/ending_test.cpp
+++ b/tests/ending_test.cpp
@@ -1,6 +1,5 @@
-// What is owed when something ends: a client's connection, a router's service, a watch. The router is whole,
-// on loopback; whoever it deals with is played by the test, which decides what lies in which socket at each
-// step.
+// Ends of connections: a client's connection, a router's shutdown, discovery's watch. Runs a complete router
+// on loopback; the test plays its peers, and so controls which bytes are unread in which socket at each step.
 #include <doctest/doctest.h>
 
 #include <thread>
@@ -12,38 +11,38 @@
 
 namespace {
 
-using HeldParts = std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>>;
+using PendingParts = std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>>;
 
-// Every part is kept by its node until the test answers it.
-void hold_parts(TestCluster& cluster, HeldParts& held) {
+// Makes every node keep the parts it receives until the test answers them.
+void hold_all_parts(TestCluster& cluster, PendingParts& pending) {
   cluster.set_part_handler(
-      [&held](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+      [&pending](const auto& part, auto& from) { pending.emplace_back(part, from.shared_from_this()); });
 }
 
-void answer_all(HeldParts& held) {
-  for (auto& [part, from] : std::exchange(held, {})) DataNode::answer(*from, part, "done", 1, "v");
+void answer_all_parts(PendingParts& pending) {
+  for (auto& [part, from] : std::exchange(pending, {})) DataNode::answer(*from, part, "done", 1, "v");
 }
 
-void wait(TestCluster& cluster, double seconds) {
+void run_for(TestCluster& cluster, double seconds) {
   cluster.wait_until([] { return false; }, seconds);
 }
 
-// A router with a client whose query is held by its node, and one that rests and shows when connections are
-// ended.
-struct HeldQuery {
-  explicit HeldQuery(const std::string& requests) {
-    hold_parts(cluster, held);
-    resting.send("GET /_health HTTP/1.1\r\n\r\n");
-    REQUIRE(resting.answer() == 200);
+// A cluster with a client whose query is unanswered by its node, and an idle client that shows when the
+// router closes idle connections.
+struct PendingQueryFixture {
+  explicit PendingQueryFixture(const std::string& requests) {
+    hold_all_parts(cluster, pending);
+    idle.send("GET /_health HTTP/1.1\r\n\r\n");
+    REQUIRE(idle.answer() == 200);
     client.send(requests);
-    REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
+    REQUIRE(cluster.wait_until([&] { return pending.size() == 1; }));
   }
   TestCluster cluster;
-  HeldParts held;
-  TestClient client{cluster}, resting{cluster};
+  PendingParts pending;
+  TestClient client{cluster}, idle{cluster};
 };
 
-void serve_one(TestCluster& cluster) {
+void check_serves_query(TestCluster& cluster) {
   TestClient client(cluster);
   client.send(query_request("look", {1, 2}, "one"));
   REQUIRE(client.answer() == 200);
@@ -53,144 +52,144 @@
 
 TEST_SUITE_BEGIN("router");
 
-// Its end can't be read behind what it has sent ahead: the hedged request went out long after it had gone.
-TEST_CASE("a client that has sent more ahead than is read, and goes, is noticed in a tenth of a second") {
+// Guards against sending parts for a client that has disconnected: while the router's buffer is full of
+// pipelined bytes it doesn't read on to the end of the connection, and a hedged copy was sent long after.
+TEST_CASE(
+    "a disconnect is noticed within 0.1 s although the client has pipelined more than the router reads") {
   TestCluster cluster;
-  for (int i = 0; i < 12; ++i) {  // a tenth of these may be hedged
+  for (int i = 0; i < 12; ++i) {  // copies are limited to a tenth of the parts sent
     TestClient served(cluster);
     served.send(query_request("look", {i % 8}, "w" + std::to_string(i)));
     REQUIRE(served.answer() == 200);
   }
   const auto before = cluster.received_parts();
-  HeldParts held;
-  hold_parts(cluster, held);
+  PendingParts pending;
+  hold_all_parts(cluster, pending);
   TestClient client(cluster);
   client.send(query_request("look", {1}) + std::string(40'000, 'x'));
-  REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
+  REQUIRE(cluster.wait_until([&] { return pending.size() == 1; }));
   SUBCASE("it closes") {
     client.socket.shutdown(tcp::socket::shutdown_send);
-    const auto gone = now();
-    CHECK(client.ended());  // the router does the same, over what it has not read
-    CHECK(now() - gone < 0.1);
+    const auto closed_at = now();
+    CHECK(client.ended());  // the router closes too, although there are unread bytes
+    CHECK(now() - closed_at < 0.1);
   }
   SUBCASE("it resets") {
     client.socket.set_option(boost::asio::socket_base::linger(true, 0));
     client.socket.close();
   }
-  wait(cluster, 1);  // the hedge delay is some 0.1 s after so few answers
+  run_for(cluster, 1);  // the hedge delay is about 0.1 s after so few answers
   CHECK(cluster.received_parts() == before + 1);
 }
 
-TEST_CASE("a resting connection with a request unread in its socket does not make room for another") {
+TEST_CASE("an idle connection with an unread request in its socket is not closed to make room") {
   TestCluster cluster(3, 64);
-  std::vector<std::unique_ptr<TestClient>> resting;
-  for (int i = 0; i < 16; ++i) {  // the next one has one closed for it
-    resting.push_back(std::make_unique<TestClient>(cluster));
-    resting.back()->send(query_request("look", {1}, "r" + std::to_string(i)));
-    REQUIRE(resting.back()->answer() == 200);
+  std::vector<std::unique_ptr<TestClient>> idle;
+  for (int i = 0; i < 16; ++i) {  // from the next one on, idle ones are closed for it
+    idle.push_back(std::make_unique<TestClient>(cluster));
+    idle.back()->send(query_request("look", {1}, "r" + std::to_string(i)));
+    REQUIRE(idle.back()->answer() == 200);
   }
-  TestClient fresh(cluster);                             // the router accepts this one first,
-  resting[0]->send(query_request("look", {2}, "late"));  // and this lies unread in the socket of the oldest
-  CHECK(resting[0]->answer() == 200);
+  TestClient new_client(cluster);                     // the router accepts this connection first,
+  idle[0]->send(query_request("look", {2}, "late"));  // while this is unread in the socket of the oldest
+  CHECK(idle[0]->answer() == 200);
   CHECK(cluster.logged("client_room"));
-  CHECK(!resting[0]->closed);
+  CHECK(!idle[0]->closed);
 }
 
-TEST_CASE("at the bound of connections a new one is taken once another has its answer") {
+TEST_CASE("at the limit of connections a new one is accepted once another one has its answer") {
   TestCluster cluster(3, 64);
-  HeldParts held;
-  hold_parts(cluster, held);
-  std::vector<std::unique_ptr<TestClient>> busy;
-  while (cluster.wait_until([&] { return held.size() == busy.size(); }, 0.5)) {
-    REQUIRE(busy.size() < 64);
-    busy.push_back(std::make_unique<TestClient>(cluster));
-    busy.back()->send(query_request("change", {1}, "b" + std::to_string(busy.size())));
+  PendingParts pending;
+  hold_all_parts(cluster, pending);
+  std::vector<std::unique_ptr<TestClient>> clients;
+  while (cluster.wait_until([&] { return pending.size() == clients.size(); }, 0.5)) {
+    REQUIRE(clients.size() < 64);
+    clients.push_back(std::make_unique<TestClient>(cluster));
+    clients.back()->send(query_request("change", {1}, "b" + std::to_string(clients.size())));
   }
-  const auto bound = busy.size() - 1;  // the last one waits in the kernel
-  REQUIRE(busy.back()->received.empty());
-  REQUIRE(bound > 16);
-  auto [part, from] = held[0];
+  const auto accepted_count = clients.size() - 1;  // the last one waits in the kernel's queue
+  REQUIRE(clients.back()->received.empty());
+  REQUIRE(accepted_count > 16);
+  auto [part, from] = pending[0];
   DataNode::answer(*from, part, "done", 1, "v");
-  CHECK(busy.back()->answer() != 0);  // one rests now, it makes room
-  TestClient waiting(
-      cluster);  // and the router ends while one waits: what it closes then sets no timer that is gone
-  wait(cluster, 0.1);
+  CHECK(clients.back()->answer() != 0);  // one connection is idle now and makes room
+  TestClient waiting_client(cluster);    // ends with one waiting: closing must not use a destroyed timer
+  run_for(cluster, 0.1);
 }
 
-// A plain close resets the connection when a request crosses it, and takes along what the client has not
-// read.
+// Guards against a plain close: a request that crosses it would reset the connection, and the client would
+// lose what it has not read yet.
 TEST_CASE(
-    "a resting connection that is ended is read until its client ends it, and nothing of that is served") {
+    "an idle connection being closed is read until its client closes too, and nothing of it is served") {
   TestCluster cluster;
-  TestClient client(cluster), other(cluster);
+  TestClient client(cluster), second_client(cluster);
   client.send(query_request("look", {1}));
   REQUIRE(client.answer() == 200);
   cluster.router->drain();
-  REQUIRE(client.ended());  // its end has been read, it goes on all the same
+  REQUIRE(client.ended());  // the client has seen the close, but sends on
   const auto parts = cluster.received_parts();
   boost::system::error_code error;
-  for (int i = 0; i < 3 && !error; ++i) {  // the second fails where the first one was answered by a reset
+  for (int i = 0; i < 3 && !error; ++i) {  // the second write fails if the first one caused a reset
     boost::asio::write(client.socket, boost::asio::buffer(query_request("look", {2}, "crossing")), error);
-    wait(cluster, 0.02);
+    run_for(cluster, 0.02);
   }
   CHECK(!error);
   CHECK(cluster.received_parts() == parts);
 }
 
-TEST_CASE(
-    "requests that were read ahead get an answer each before the connection ends, and are not sent on") {
-  HeldQuery rig(query_request("look", {1}, "a") + query_request("look", {2}, "b") +
-                query_request("change", {3}, "c"));
-  auto& [cluster, held, ahead, resting] = rig;
+TEST_CASE("pipelined requests get an answer each before the connection ends, but are not served") {
+  PendingQueryFixture fixture(query_request("look", {1}, "a") + query_request("look", {2}, "b") +
+                              query_request("change", {3}, "c"));
+  auto& [cluster, pending, pipelining, idle] = fixture;
   cluster.router->drain();
-  REQUIRE(resting.ended());  // from here on answers are the last of their connections
-  answer_all(held);
-  CHECK(ahead.answer() == 200);
-  CHECK(ahead.answer() == 503);
-  CHECK(ahead.last_head.find("Connection: close") == std::string::npos);
-  CHECK(ahead.answer() == 503);
-  CHECK(ahead.last_head.find("Connection: close") != std::string::npos);
-  CHECK(ahead.ended());
+  REQUIRE(idle.ended());  // from here on each connection is closed after its answer
+  answer_all_parts(pending);
+  CHECK(pipelining.answer() == 200);
+  CHECK(pipelining.answer() == 503);
+  CHECK(pipelining.last_head.find("Connection: close") == std::string::npos);
+  CHECK(pipelining.answer() == 503);
+  CHECK(pipelining.last_head.find("Connection: close") != std::string::npos);
+  CHECK(pipelining.ended());
   for (const auto& node : cluster.nodes)
     for (const auto& part : node->parts) CHECK(part.id.starts_with("a."));
 }
 
-TEST_CASE("connections that the kernel took before the router stops to accept are served") {
+TEST_CASE("connections in the kernel's queue when the router stops accepting are served") {
   TestCluster cluster;
   cluster.router->drain();
   std::unique_ptr<TestClient> last;
-  // One that stands in the queue of the kernel in the very turn in which the router stops to accept.
-  const auto began = now();
-  auto posted = false;
+  // Connects so that it is in the kernel's queue in the turn in which the router stops accepting.
+  const auto began_at = now();
+  auto connected = false;
   boost::asio::post(cluster.context, [&] {
-    std::this_thread::sleep_for(std::chrono::duration<double>(std::max(began + 0.72 - now(), 0.0)));
+    std::this_thread::sleep_for(std::chrono::duration<double>(std::max(began_at + 0.72 - now(), 0.0)));
     last = std::make_unique<TestClient>(cluster);
     last->send(query_request("look", {1, 2}));
-    posted = true;
+    connected = true;
   });
-  REQUIRE(cluster.wait_until([&] { return posted; }));
+  REQUIRE(cluster.wait_until([&] { return connected; }));
   CHECK(last->answer() == 200);
 }
 
-TEST_CASE("a second SIGTERM, and a SIGHUP behind it, change nothing of how a router ends") {
-  HeldQuery rig(query_request("look", {1}));
-  auto& [cluster, held, client, resting] = rig;
-  const auto told = now();
+TEST_CASE("a second SIGTERM, and a SIGHUP after it, don't change the shutdown") {
+  PendingQueryFixture fixture(query_request("look", {1}));
+  auto& [cluster, pending, client, idle] = fixture;
+  const auto drain_began = now();
   cluster.router->drain();
-  wait(cluster, 1);
+  run_for(cluster, 1);
   cluster.router->drain();
   cluster.router->reload();
-  REQUIRE(resting.ended());
-  CHECK(now() - told < 2.5);  // counted from the first
+  REQUIRE(idle.ended());
+  CHECK(now() - drain_began < 2.5);  // counted from the first SIGTERM
   CHECK(cluster.router->phase() == Router::Phase::draining);
-  answer_all(held);
+  answer_all_parts(pending);
   CHECK(client.answer() == 200);
   CHECK(cluster.wait_until([&] { return cluster.router->phase() == Router::Phase::stopped; }));
 }
 
-TEST_CASE("of two new configurations in one turn the last one's discovery is followed") {
+TEST_CASE("with two new configurations in one turn, the last one's discovery is followed") {
   TestCluster cluster;
-  serve_one(cluster);
+  check_serves_query(cluster);
   toy::Discovery second(cluster.context), third(cluster.context);
   second.whole = cluster.list(5, true);
   third.whole = cluster.list(3, true);
@@ -199,14 +198,14 @@
     cluster.router->reload();
   }
   REQUIRE(cluster.wait_until([&] { return third.asked.size() == 1; }));
-  wait(cluster, 0.5);
+  run_for(cluster, 0.5);
   CHECK(second.asked.empty());
   CHECK(cluster.logged("list version=3"));
   CHECK(!cluster.logged("list version=5"));
-  serve_one(cluster);
+  check_serves_query(cluster);
 }
 
-TEST_CASE("a list is read whatever its lines and pieces") {
+TEST_CASE("a list is read however it is split into lines and chunks") {
   TestCluster cluster;
   const auto entry = toy::Discovery::entry("s-0", cluster.nodes[0]->at(), 0, "draining");
   const auto indented =
@@ -222,7 +221,7 @@
         continue;
       }
       cluster.discovery.tell(std::exchange(line, {}));
-      wait(cluster, 0.01);
+      run_for(cluster, 0.01);
     }
   }
   SUBCASE("two on one line") {
@@ -234,57 +233,58 @@
   CHECK(cluster.discovery.asked.size() == 1);
 }
 
-TEST_CASE("half a list that never ends keeps no watch alive, whatever lines come behind it") {
+TEST_CASE("an unfinished list doesn't keep a watch alive, whatever lines follow it") {
   TestCluster cluster;
   cluster.discovery.tell(R"({"version":2,"full":false,"servers":[)");
-  const auto began = now();
-  while (cluster.discovery.asked.size() == 1 && now() < began + 5) {
+  const auto began_at = now();
+  while (cluster.discovery.asked.size() == 1 && now() < began_at + 5) {
     cluster.discovery.tell("");
-    wait(cluster, 0.1);
+    run_for(cluster, 0.1);
   }
-  CHECK(now() - began < 3.5);
+  CHECK(now() - began_at < 3.5);
 }
 
-// What a silent watch missed counts as told 6 s after its last word.
-TEST_CASE("a list is in hand 6 s after a watch fell silent, though the next ones hang, end and dawdle") {
+// The protocol counts what a silent watch missed as delivered 6 s after its last message.
+TEST_CASE(
+    "a list arrives within 6 s after a watch fell silent, though the next watches hang, end or are slow") {
   TestCluster cluster;
   const auto first = cluster.discovery.last_beat;
   REQUIRE(cluster.wait_until([&] { return cluster.discovery.last_beat > first; }));
   cluster.discovery.silent = true;
   cluster.discovery.whole = cluster.list(2, true);
   std::shared_ptr<toy::Session> slow;
-  double asked_slow = 0;
+  double slow_since = 0;
   cluster.discovery.on_watch = [&](toy::Session& session) {
     const auto number = cluster.discovery.asked.size();
     if (number == 2) return true;  // hangs
     if (number == 3) return session.close(), true;
     if (number == 4) {
       slow = session.shared_from_this();
-      asked_slow = now();
+      slow_since = now();
       return true;
     }
     return false;
   };
-  const auto in_hand = [&] {
-    if (slow && now() > asked_slow + 1) {
+  const auto list_received = [&] {
+    if (slow && now() > slow_since + 1) {
       slow->say(std::string(toy::Discovery::kHead) + toy::Discovery::chunk(cluster.discovery.whole));
       slow.reset();
     }
     return cluster.logged("version=2");
   };
-  REQUIRE(cluster.wait_until(in_hand));
+  REQUIRE(cluster.wait_until(list_received));
   CHECK(now() - cluster.discovery.last_beat < 6);
 }
 
-TEST_CASE("a watch that ends is opened again within a tenth of a second, one that keeps ending ever later") {
+TEST_CASE("a watch that ends is reopened within 0.1 s, one that keeps ending with growing delays") {
   TestCluster cluster;
-  const auto began = now();
+  const auto began_at = now();
   cluster.discovery.break_off();
   REQUIRE(cluster.wait_until([&] { return cluster.discovery.asked.size() == 2; }));
-  CHECK(now() - began < 0.1);
+  CHECK(now() - began_at < 0.1);
   cluster.discovery.on_watch = [](toy::Session& session) { return session.close(), true; };
   cluster.discovery.break_off();
-  wait(cluster, 2);
+  run_for(cluster, 2);
   CHECK(cluster.discovery.asked.size() < 12);
   CHECK(cluster.discovery.asked.size() > 5);
 }
--- a/tests/faults/disk_injector.cpp
+++ b/tests/faults/disk_injector.cpp
@@ -21,15 +21,15 @@
 
 constexpr auto kUnlimited = std::numeric_limits<std::size_t>::max();
 
-// What the disk does now; threads of the code under test read it.
+// The faults that are set; threads of the code under test read them.
 struct State {
   std::mutex mutex;
   bool active = false;
   std::string suffix;
   std::set<int> files;
   int open_error = 0, write_error = 0;
-  std::size_t room = kUnlimited, longest_write = kUnlimited;
-  bool interrupted = false;  // the last write
+  std::size_t free_bytes = kUnlimited, max_write = kUnlimited;
+  bool last_interrupted = false;  // whether the last write failed with EINTR
   int injected = 0;
 };
 
@@ -38,7 +38,7 @@
   return instance;
 }
 
-int failed(State& s, int error) {
+int fail_call(State& s, int error) {
   ++s.injected;
   errno = error;
   return -1;
@@ -46,42 +46,42 @@
 
 }  // namespace
 
-Disk::Disk(const std::string& suffix) {
+FaultyDisk::FaultyDisk(const std::string& suffix) {
   const std::lock_guard lock(state().mutex);
   state().active = true;
   state().suffix = suffix;
   state().injected = 0;
 }
 
-Disk::~Disk() {
-  heal();
+FaultyDisk::~FaultyDisk() {
+  clear_faults();
   const std::lock_guard lock(state().mutex);
   state().active = false;
   state().files.clear();
 }
 
-void Disk::fail(DiskCall call, int error) {
+void FaultyDisk::fail(DiskCall call, int error) {
   const std::lock_guard lock(state().mutex);
   (call == DiskCall::open ? state().open_error : state().write_error) = error;
 }
 
-void Disk::fill_after(std::size_t bytes) {
+void FaultyDisk::fill_after(std::size_t bytes) {
   const std::lock_guard lock(state().mutex);
-  state().room = bytes;
+  state().free_bytes = bytes;
 }
 
-void Disk::cut_writes(std::size_t bytes) {
+void FaultyDisk::limit_writes(std::size_t bytes) {
   const std::lock_guard lock(state().mutex);
-  state().longest_write = bytes;
+  state().max_write = bytes;
 }
 
-void Disk::heal() {
+void FaultyDisk::clear_faults() {
   const std::lock_guard lock(state().mutex);
   state().open_error = state().write_error = 0;
-  state().room = state().longest_write = kUnlimited;
+  state().free_bytes = state().max_write = kUnlimited;
 }
 
-int Disk::injected() const {
+int FaultyDisk::injected() const {
   const std::lock_guard lock(state().mutex);
   return state().injected;
 }
@@ -91,11 +91,11 @@
 int open_file(const char* path, int flags, mode_t mode) {
   auto& s = state();
   const std::lock_guard lock(s.mutex);
-  const auto concerned = s.active && std::string_view(path).ends_with(s.suffix);
-  if (concerned && s.open_error != 0) return failed(s, s.open_error);
+  const auto affected = s.active && std::string_view(path).ends_with(s.suffix);
+  if (affected && s.open_error != 0) return fail_call(s, s.open_error);
   const auto descriptor = __real_open(path, flags, mode);
-  if (concerned && descriptor >= 0) s.files.insert(descriptor);
-  if (!concerned) s.files.erase(descriptor);
+  if (affected && descriptor >= 0) s.files.insert(descriptor);
+  if (!affected) s.files.erase(descriptor);
   return descriptor;
 }
 
@@ -103,15 +103,15 @@
   auto& s = state();
   const std::lock_guard lock(s.mutex);
   if (!s.active || !s.files.contains(descriptor)) return __real_write(descriptor, data, size);
-  if (s.write_error != 0) return failed(s, s.write_error);
-  if (s.longest_write != kUnlimited) {
-    s.interrupted = !s.interrupted;
-    if (s.interrupted) return failed(s, EINTR);
+  if (s.write_error != 0) return fail_call(s, s.write_error);
+  if (s.max_write != kUnlimited) {
+    s.last_interrupted = !s.last_interrupted;
+    if (s.last_interrupted) return fail_call(s, EINTR);
   }
-  const auto taken = std::min({size, s.room, s.longest_write});
-  if (size > 0 && taken == 0) return failed(s, ENOSPC);
+  const auto taken = std::min({size, s.free_bytes, s.max_write});
+  if (size > 0 && taken == 0) return fail_call(s, ENOSPC);
   if (taken < size) ++s.injected;
-  if (s.room != kUnlimited) s.room -= taken;
+  if (s.free_bytes != kUnlimited) s.free_bytes -= taken;
   return __real_write(descriptor, data, taken);
 }
 
--- a/tests/faults/disk_injector.hpp
+++ b/tests/faults/disk_injector.hpp
@@ -1,5 +1,5 @@
-// Calls on files that fail as told. The test program is linked with --wrap for open and write, so that the
-// code under test has no hook. Only files of one extension are concerned, in all threads.
+// Injects faults into calls on files. The test program is linked with --wrap for open and write, so that the
+// code under test needs no hook. Affects only files with a given suffix, in all threads.
 #pragma once
 
 #include <cstddef>
@@ -9,22 +9,23 @@
 
 enum class DiskCall { open, write };
 
-class Disk {
+class FaultyDisk {
  public:
-  // Of files whose names end so. The calls go through again once it is destroyed.
-  explicit Disk(const std::string& suffix);
-  ~Disk();
-  Disk(const Disk&) = delete;
-  Disk& operator=(const Disk&) = delete;
+  // Affects files whose names end in `suffix`, until it is destroyed.
+  explicit FaultyDisk(const std::string& suffix);
+  ~FaultyDisk();
+  FaultyDisk(const FaultyDisk&) = delete;
+  FaultyDisk& operator=(const FaultyDisk&) = delete;
 
-  // Every such call fails with this errno until heal().
+  // Every such call fails with this errno until clear_faults().
   void fail(DiskCall call, int error);
-  // The disk takes so many more bytes; then writes are cut and fail with ENOSPC until heal().
+  // The disk has this much free space left; after that writes are cut short or fail with ENOSPC, until
+  // clear_faults().
   void fill_after(std::size_t bytes);
-  // Every write takes this many bytes at most, and every other one is interrupted before it takes any.
-  void cut_writes(std::size_t bytes);
-  void heal();
-  int injected() const;  // calls that did not go through whole
+  // Every write takes at most this many bytes, and every other one fails with EINTR.
+  void limit_writes(std::size_t bytes);
+  void clear_faults();
+  int injected() const;  // number of calls that failed or were cut short
 };
 
 }  // namespace yoketurn::faults
--- a/tests/main.hpp
+++ b/tests/main.hpp
@@ -1,4 +1,4 @@
-// The entry of a test program. Include in one file of it, in place of doctest's own.
+// main() of a test program. Include it in one source file, instead of doctest's own main().
 #pragma once
 
 #define DOCTEST_CONFIG_IMPLEMENT
@@ -8,7 +8,7 @@
 
 int main(int argc, char** argv) {
   doctest::Context context(argc, argv);
-  // Test cases that are known to fail; .ci/run takes them from KNOWN-RED.txt and prints them.
+  // Excludes the test cases that are known to fail; .ci/run reads them from KNOWN-RED.txt and prints them.
   if (const char* known = std::getenv("YOKETURN_KNOWN_RED"); known != nullptr && *known != '\0')
     context.addFilter("test-case-exclude", known);
   return context.run();
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,4 @@
-// The whole router in one process with toy nodes and a toy discovery, over loopback sockets.
+// The whole router in one process with toy data nodes and a toy discovery, over loopback sockets.
 #include "router/router.hpp"
 
 #include <doctest/doctest.h>
@@ -17,20 +17,20 @@
 
 namespace {
 
-// An answer whose length is off by so much.
-std::string spoilt(const DataNode::Part& part, int by) {
+// An answer whose frame length is wrong by `error` bytes.
+std::string with_length_error(const DataNode::Part& part, int error) {
   auto bytes = frame('R', part.id + " done 1 -\nq@1");
-  bytes[3] = static_cast<char>(bytes[3] + by);
+  bytes[3] = static_cast<char>(bytes[3] + error);
   return bytes;
 }
 
-const std::string kMerged =
+const std::string kMergedBody =
     R"({"whole":true,"results":[{"partition":1,"value":"q@1"},{"partition":2,"value":"q@2"}]})";
 
-// Enough parts that a tenth of them allows copies.
-void serve(TestCluster& cluster, int many = 12) {
+// Sends queries one after another; by default so many that a copy is allowed (a tenth of the parts).
+void serve_queries(TestCluster& cluster, int count = 12) {
   TestClient client(cluster);
-  for (int i = 0; i < many; ++i) {
+  for (int i = 0; i < count; ++i) {
     client.send(query_request("look", {i % 8}, "w" + std::to_string(i)));
     REQUIRE(client.answer() == 200);
   }
@@ -40,7 +40,7 @@
 
 TEST_SUITE_BEGIN("router");
 
-TEST_CASE("a query is answered however its bytes arrive") {
+TEST_CASE("a query is answered however its bytes are split, encoded or pipelined") {
   TestCluster cluster;
   const auto whole = query_request("look", {1, 2});
   const auto body = query_body({1, 2});
@@ -53,7 +53,7 @@
     client.send(request);
     for (int i = request.size() > chunked.size() + 50 ? 3 : 1; i > 0; --i) {
       CHECK(client.answer() == 200);
-      CHECK(client.body == kMerged);
+      CHECK(client.body == kMergedBody);
     }
   }
   for (const auto byte : chunked) {
@@ -61,7 +61,7 @@
     cluster.context.poll();
   }
   CHECK(client.answer() == 200);
-  CHECK(client.body == kMerged);
+  CHECK(client.body == kMergedBody);
   client.send("GET /_health HTTP/1.1\r\n\r\n");
   CHECK(client.answer() == 200);
   client.send(
@@ -73,7 +73,7 @@
   CHECK(client.answer() == 200);
 }
 
-TEST_CASE("what the nodes are sent follows the protocol") {
+TEST_CASE("parts sent to nodes follow the protocol") {
   TestCluster cluster;
   TestClient client(cluster);
   client.send(query_request("change", {5}, "9b1f"));
@@ -94,11 +94,12 @@
   CHECK(sent["7c.1"].list.find("from") == std::string::npos);
 }
 
-TEST_CASE("bad requests get their status at once, no call, and the connection stays where framing holds") {
+TEST_CASE(
+    "bad requests get their status at once and no call; the connection stays open if framing is intact") {
   struct Row {
     std::string from, to;
     int status;
-    bool stays;
+    bool connection_stays_open;
   };
   const auto good = query_request("look", {1, 2});
   const Row rows[] = {
@@ -142,7 +143,7 @@
     TestClient client(cluster);
     client.send(request);
     CHECK(client.answer() == row.status);
-    if (row.stays) {
+    if (row.connection_stays_open) {
       client.send("GET /_health HTTP/1.1\r\n\r\n");
       CHECK(client.answer() == 200);
     } else {
@@ -154,36 +155,37 @@
   CHECK(cluster.logged("bad_request"));
 }
 
-TEST_CASE("a connection that brings no request in time is closed, one that has had an answer stays") {
+TEST_CASE("a connection without a request in time is closed, one that has had an answer stays open") {
   TestCluster cluster;
   const auto whole = query_request("look", {1, 2});
-  const std::string halves[] = {"", "P", "POST /look HTTP/1.1\r\nX-A:", whole.substr(0, whole.size() - 1)};
-  std::vector<std::unique_ptr<TestClient>> crowd;
-  TestClient usual(cluster), dribbler(cluster);
+  const std::string partial_requests[] = {"", "P",
+                                          "POST /look HTTP/1.1\r\nX-A:", whole.substr(0, whole.size() - 1)};
+  std::vector<std::unique_ptr<TestClient>> idle_clients;
+  TestClient active_client(cluster), slow_sender(cluster);
   const auto start = now();
-  for (const auto& half : halves) {
-    crowd.push_back(std::make_unique<TestClient>(cluster));
-    crowd.back()->send(half);
+  for (const auto& partial_request : partial_requests) {
+    idle_clients.push_back(std::make_unique<TestClient>(cluster));
+    idle_clients.back()->send(partial_request);
   }
-  usual.send(whole);
-  CHECK(usual.answer() == 200);
-  for (std::size_t i = 0; !dribbler.closed && dribbler.received.empty() && i < whole.size(); ++i) {
-    dribbler.send({&whole[i], 1});
+  active_client.send(whole);
+  CHECK(active_client.answer() == 200);
+  for (std::size_t i = 0; !slow_sender.closed && slow_sender.received.empty() && i < whole.size(); ++i) {
+    slow_sender.send({&whole[i], 1});
     cluster.wait_until([] { return false; }, 0.05);
   }
-  CHECK(dribbler.answer() == 408);
-  for (const auto& client : crowd) {
-    if (client != crowd.front()) CHECK(client->answer() == 408);
+  CHECK(slow_sender.answer() == 408);
+  for (const auto& client : idle_clients) {
+    if (client != idle_clients.front()) CHECK(client->answer() == 408);
     CHECK(client->ended());
   }
   CHECK(now() - start < 3);
   CHECK(cluster.received_parts() == 2);
-  usual.send(whole);
-  CHECK(usual.answer() == 200);
+  active_client.send(whole);
+  CHECK(active_client.answer() == 200);
   CHECK(cluster.received_parts() == 4);
 }
 
-TEST_CASE("a body too large to keep is answered though the client sends on, and is not read to its end") {
+TEST_CASE("a body over the limit is refused while the client still sends, and is not read to its end") {
   for (const auto* framing :
        {"Content-Length: 60000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3938700\r\n"}) {
     TestCluster cluster;
@@ -202,31 +204,31 @@
   }
 }
 
-TEST_CASE("the id of an open query is refused, whosever it is, and the first one goes on") {
+TEST_CASE("the id of an open query is refused, also from another client, and the first query continues") {
   TestCluster cluster;
-  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
+  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> pending;
   cluster.set_part_handler(
-      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+      [&](const auto& part, auto& from) { pending.emplace_back(part, from.shared_from_this()); });
   TestClient first(cluster), second(cluster);
   first.send(query_request("look", {1}));
-  REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
+  REQUIRE(cluster.wait_until([&] { return pending.size() == 1; }));
   second.send(query_request("change", {1}));
   CHECK(second.answer() == 409);
-  CHECK(held.size() == 1);
-  DataNode::answer(*held[0].second, held[0].first, "done", 1, "v");
+  CHECK(pending.size() == 1);
+  DataNode::answer(*pending[0].second, pending[0].first, "done", 1, "v");
   CHECK(first.answer() == 200);
   second.send(query_request("look", {1}));
-  REQUIRE(cluster.wait_until([&] { return held.size() == 2; }));
+  REQUIRE(cluster.wait_until([&] { return pending.size() == 2; }));
 }
 
-TEST_CASE("a copy wins, and the loser is given up") {
+TEST_CASE("a copy answers first, and the slower call is cancelled") {
   TestCluster cluster;
-  serve(cluster);
+  serve_queries(cluster);
   const DataNode* silent = nullptr;
   for (const auto& node : cluster.nodes)
-    node->on_part = [&, usual = node->on_part, me = node.get()](const auto& part, auto& from) {
+    node->on_part = [&, default_handler = node->on_part, me = node.get()](const auto& part, auto& from) {
       if (silent == nullptr) silent = me;
-      if (me != silent) usual(part, from);
+      if (me != silent) default_handler(part, from);
     };
   TestClient client(cluster);
   client.send(query_request("look", {1}));
@@ -235,17 +237,17 @@
   CHECK(cluster.wait_until([&] { return silent->given_up == std::vector<std::string>{"t1.1"}; }));
 }
 
-TEST_CASE("how a node fails a part, and what becomes of its query") {
+TEST_CASE("a query is answered however its first node fails a part") {
   struct Row {
     const char* what;
-    std::function<void(const DataNode::Part&, toy::Session&)> act;
-    int change;  // the status of a deduplicated query of one part, the first node only failing
+    std::function<void(const DataNode::Part&, toy::Session&)> fail;
+    int status;  // the expected status of a query of one part when only the first node fails
   };
   const Row rows[] = {
-      {"says failed", [](auto& part, auto& from) { DataNode::answer(from, part, "failed", 0, ""); }, 200},
-      {"says full", [](auto& part, auto& from) { DataNode::answer(from, part, "full", 0, ""); }, 200},
-      {"dies", [](auto&, auto& from) { from.close(); }, 200},
-      {"answers for another part",
+      {"answers failed", [](auto& part, auto& from) { DataNode::answer(from, part, "failed", 0, ""); }, 200},
+      {"answers full", [](auto& part, auto& from) { DataNode::answer(from, part, "full", 0, ""); }, 200},
+      {"closes the connection", [](auto&, auto& from) { from.close(); }, 200},
+      {"answers for another part first",
        [](auto& part, auto& from) {
          auto other = part;
          other.id += ".p2";
@@ -257,26 +259,29 @@
       {"sends F", [](auto&, auto& from) { from.say(frame('F', "no")); }, 200},
       {"sends too large a frame", [](auto&, auto& from) { from.say(std::string("\x7f\xff\xff\xffR", 5)); },
        200},
-      {"answers for another part and stays",
+      {"answers for another part only",
        [](auto& part, auto& from) {
          auto other = part;
          other.id += "7";
          DataNode::answer(from, other, "done", 1, "wrong");
        },
        200},
-      {"cuts the value by its length", [](auto& part, auto& from) { from.say(spoilt(part, -2)); }, 200},
-      {"cuts all of the value", [](auto& part, auto& from) { from.say(spoilt(part, -3)); }, 200},
-      {"tells too long a length", [](auto& part, auto& from) { from.say(spoilt(part, 9)); }, 200},
-      {"takes the head of the next frame for its value",
-       [](auto& part, auto& from) { from.say(spoilt(part, 2) + frame('R', "x done 1 -\nv")); }, 200},
-      {"sends a line without end", [](auto& part, auto& from) { from.say(frame('R', part.id + " done")); },
-       200},
-      {"sends an unknown end", [](auto& part, auto& from) { from.say(frame('R', part.id + " gone 1 -\nv")); },
+      {"states a length that cuts the value",
+       [](auto& part, auto& from) { from.say(with_length_error(part, -2)); }, 200},
+      {"states a length that leaves no value",
+       [](auto& part, auto& from) { from.say(with_length_error(part, -3)); }, 200},
+      {"states too long a length", [](auto& part, auto& from) { from.say(with_length_error(part, 9)); }, 200},
+      {"states a length that includes the head of the next frame",
+       [](auto& part, auto& from) { from.say(with_length_error(part, 2) + frame('R', "x done 1 -\nv")); },
        200},
+      {"sends a line without its end",
+       [](auto& part, auto& from) { from.say(frame('R', part.id + " done")); }, 200},
+      {"answers with an unknown outcome",
+       [](auto& part, auto& from) { from.say(frame('R', part.id + " gone 1 -\nv")); }, 200},
       {"sends a few bytes of noise", [](auto&, auto& from) { from.say("no"); }, 200},
       {"sends a frame that stops halfway",
        [](auto& part, auto& from) { from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, 9)); }, 200},
-      {"sends half a frame and ends",
+      {"sends half a frame and closes the connection",
        [](auto& part, auto& from) {
          from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, 9));
          from.close();
@@ -290,32 +295,32 @@
       TestCluster cluster;
       bool failed = false;
       for (const auto& node : cluster.nodes)
-        node->on_part = [&, usual = node->on_part](const auto& part, auto& from) {
-          if (std::exchange(failed, true)) return usual(part, from);
-          row.act(part, from);
+        node->on_part = [&, default_handler = node->on_part](const auto& part, auto& from) {
+          if (std::exchange(failed, true)) return default_handler(part, from);
+          row.fail(part, from);
         };
       TestClient client(cluster);
       const auto start = now();
       client.send(query_request(vertical, {1}));
-      CHECK(client.answer() == row.change);
-      CHECK(now() - start < 0.9);  // as soon as it is known, not when the call's time is over
+      CHECK(client.answer() == row.status);
+      CHECK(now() - start < 0.9);  // as soon as the failure is known, not at the call's timeout
       CHECK(client.body == R"({"whole":true,"results":[{"partition":1,"value":"q@1"}]})");
     }
   }
 }
 
-TEST_CASE("good answers with more behind them count, and so does what the connection brings afterwards") {
-  const std::function<std::string(const std::string&, const std::string&)> more[] = {
+TEST_CASE("valid answers followed by other bytes count, and so do later answers on the connection") {
+  const std::function<std::string(const std::string&, const std::string&)> answers[] = {
       [](const auto& good, const auto&) { return good + good; },
       [](const auto& good, const auto&) { return good + good + good.substr(0, 7); },
       [](const auto&, const auto& id) { return frame('R', id + " done 1 inflight=?;,=x =\nq@1"); },
       [](const auto&, const auto& id) { return frame('R', id + " done 1\nq@1"); },
   };
-  for (const auto& say : more) {
+  for (const auto& make_answer : answers) {
     TestCluster cluster(1);
     for (int i = 0; i < 3; ++i) {
       cluster.nodes[0]->on_part = [&](const auto& part, auto& from) {
-        from.say(say(frame('R', part.id + " done 1 -\nq@1"), part.id));
+        from.say(make_answer(frame('R', part.id + " done 1 -\nq@1"), part.id));
       };
       TestClient client(cluster);
       client.send(query_request("look", {1}, "t" + std::to_string(i)));
@@ -326,15 +331,17 @@
   }
 }
 
-TEST_CASE("what is out beside a spoilt answer is told at once, and an answer cut anywhere is never served") {
+TEST_CASE("calls pending beside an unreadable answer end at once, and a truncated answer is never served") {
   const auto length = frame('R', "t0.1 done 1 -\nq@1").size();
   for (std::size_t cut = 1; cut < length; ++cut) {
     CAPTURE(cut);
     TestCluster cluster(1);
-    int spoil = 2;  // the first part waits for good, the second one is cut
-    cluster.nodes[0]->on_part = [&, usual = cluster.nodes[0]->on_part](const auto& part, auto& from) {
-      if (spoil > 0 && --spoil == 0) from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, cut));
-      if (spoil == 0 && part.id.starts_with("n")) usual(part, from);
+    int parts_until_cut = 2;  // the first part is never answered, the answer to the second one is truncated
+    cluster.nodes[0]->on_part = [&, default_handler = cluster.nodes[0]->on_part](const auto& part,
+                                                                                 auto& from) {
+      if (parts_until_cut > 0 && --parts_until_cut == 0)
+        from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, cut));
+      if (parts_until_cut == 0 && part.id.starts_with("n")) default_handler(part, from);
     };
     TestClient first(cluster), second(cluster);
     const auto start = now();
@@ -348,7 +355,7 @@
   }
 }
 
-TEST_CASE("a query that no node answers ends before its client's time, and says what is harmless") {
+TEST_CASE("an unanswered query ends within its client's time, and may be retried only if that is harmless") {
   for (const auto& [vertical, status] : {std::pair("look", 503), std::pair("change", 500)}) {
     TestCluster cluster;
     cluster.set_part_handler([](const auto&, auto&) {});
@@ -362,43 +369,45 @@
   }
 }
 
-TEST_CASE("a late answer to a call that was given up counts for no other, and the connection goes on") {
+TEST_CASE("a late answer to a cancelled call isn't taken for another, and the connection stays in use") {
   TestCluster cluster(1);
-  serve(cluster, 2);
-  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
+  serve_queries(cluster, 2);
+  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> pending;
   cluster.set_part_handler(
-      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+      [&](const auto& part, auto& from) { pending.emplace_back(part, from.shared_from_this()); });
   {
     TestClient client(cluster);
     client.send(query_request("look", {1}, "t5"));
-    REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
-  }  // the client is gone
+    REQUIRE(cluster.wait_until([&] { return pending.size() == 1; }));
+  }  // the client disconnects
   TestClient client(cluster);
-  client.send(query_request("look", {1}, "t5"));  // the same part again, under the same name
-  REQUIRE(cluster.wait_until([&] { return held.size() == 2; }));
-  CHECK(held[0].second != held[1].second);
-  DataNode::answer(*held[0].second, held[0].first, "done", 1, "late");
+  client.send(query_request("look", {1}, "t5"));  // the same part again, with the same id
+  REQUIRE(cluster.wait_until([&] { return pending.size() == 2; }));
+  CHECK(pending[0].second != pending[1].second);
+  DataNode::answer(*pending[0].second, pending[0].first, "done", 1, "late");
   for (int i = 0; i < 20; ++i) cluster.context.run_one_for(std::chrono::milliseconds(5));
   CHECK(client.received.empty());
-  DataNode::answer(*held[1].second, held[1].first, "done", 1, "right");
+  DataNode::answer(*pending[1].second, pending[1].first, "done", 1, "right");
   CHECK(client.answer() == 200);
   CHECK(client.body.find("right") != std::string::npos);
 }
 
-TEST_CASE("a connection that stays silent takes no new calls after one was given up on it") {
+TEST_CASE("a connection that stays silent gets no new calls after one timed out on it") {
   TestCluster cluster(1);
-  REQUIRE(cluster.wait_until([&] { return cluster.nodes[0]->accepted() == 1; }));  // ahead of any part
-  serve(cluster, 2);
+  // The connection is opened before any part is sent.
+  REQUIRE(cluster.wait_until([&] { return cluster.nodes[0]->accepted() == 1; }));
+  serve_queries(cluster, 2);
   CHECK(cluster.nodes[0]->accepted() == 1);
   int silent = 1;
-  cluster.nodes[0]->on_part = [&, usual = cluster.nodes[0]->on_part](const auto& part, auto& from) {
-    if (silent-- <= 0) usual(part, from);
+  cluster.nodes[0]->on_part = [&, default_handler = cluster.nodes[0]->on_part](const auto& part, auto& from) {
+    if (silent-- <= 0) default_handler(part, from);
   };
   TestClient client(cluster);
   client.send(query_request("look", {1}, "t1", "200m"));
   CHECK(client.answer() == 503);
-  CHECK(cluster.wait_until([&] { return cluster.nodes[0]->accepted() == 2; }));  // ahead of the next part
-  const auto again = [&] {  // the module lets the node rest for a while
+  // A new connection is opened before the next part.
+  CHECK(cluster.wait_until([&] { return cluster.nodes[0]->accepted() == 2; }));
+  const auto again = [&] {  // the module pauses the node for a while
     client.send(query_request("look", {1}, "t2"));
     return client.answer() == 200;
   };
@@ -406,7 +415,8 @@
   CHECK(cluster.nodes[0]->accepted() == 2);
 }
 
-TEST_CASE("nodes come and go by the list, a lost watch is opened again, nonsense leaves the last good list") {
+TEST_CASE(
+    "nodes follow the list, a lost watch is reopened, an invalid list leaves the last valid one in use") {
   TestCluster cluster;
   TestClient client(cluster);
   const auto answers = [&](int status) {
@@ -435,75 +445,76 @@
   cluster.discovery.tell(cluster.list(11, true));
   REQUIRE(cluster.wait_until([&] { return cluster.logged("version=11"); }));
   answers(200);
-  cluster.discovery.stop();  // the agent is away: the list stands
+  cluster.discovery.stop();  // discovery is unavailable: the list stays in use
   REQUIRE(cluster.wait_until([&] { return cluster.logged("Connection refused"); }));
   answers(200);
 }
 
-TEST_CASE("told to stop, it serves the connections it has until its time is nearly up, then ends") {
+TEST_CASE("while draining it serves its connections until shortly before SIGKILL, then stops") {
   TestCluster cluster;
-  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
+  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> pending;
   const auto answering = cluster.nodes[0]->on_part;
   const auto holding = [&](const auto& part, auto& from) {
-    held.emplace_back(part, from.shared_from_this());
+    pending.emplace_back(part, from.shared_from_this());
   };
   cluster.set_part_handler(holding);
-  TestClient early(cluster), kept(cluster), idle(cluster);
-  early.send(query_request("look", {1}));
-  REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
+  TestClient first_client(cluster), open_client(cluster), idle(cluster);
+  first_client.send(query_request("look", {1}));
+  REQUIRE(cluster.wait_until([&] { return pending.size() == 1; }));
   cluster.router->drain();
-  const auto told = now();
-  kept.send("GET /_health HTTP/1.1\r\n\r\n");
-  CHECK(kept.answer() == 503);
-  TestClient late(cluster);
-  late.send(query_request("look", {2}, "t2"));
-  REQUIRE(cluster.wait_until([&] { return held.size() == 2; }));
-  for (auto& [part, from] : held) DataNode::answer(*from, part, "done", 1, "v");
-  CHECK(early.answer() == 200);
-  CHECK(late.answer() == 200);
+  const auto drain_began = now();
+  open_client.send("GET /_health HTTP/1.1\r\n\r\n");
+  CHECK(open_client.answer() == 503);
+  TestClient late_client(cluster);
+  late_client.send(query_request("look", {2}, "t2"));
+  REQUIRE(cluster.wait_until([&] { return pending.size() == 2; }));
+  for (auto& [part, from] : pending) DataNode::answer(*from, part, "done", 1, "v");
+  CHECK(first_client.answer() == 200);
+  CHECK(late_client.answer() == 200);
   cluster.set_part_handler(answering);
-  for (int i = 0; now() < told + 1.5; ++i) {
-    kept.send(query_request("look", {i % 8}, "k" + std::to_string(i)));
-    REQUIRE(kept.answer() == 200);
-    CHECK(kept.last_head.find("Connection: close") == std::string::npos);
+  for (int i = 0; now() < drain_began + 1.5; ++i) {
+    open_client.send(query_request("look", {i % 8}, "k" + std::to_string(i)));
+    REQUIRE(open_client.answer() == 200);
+    CHECK(open_client.last_head.find("Connection: close") == std::string::npos);
     cluster.wait_until([] { return false; }, 0.1);
   }
   cluster.set_part_handler(holding);
-  kept.send(query_request("change", {3}, "t3", "4000m"));
+  open_client.send(query_request("change", {3}, "t3", "4000m"));
   CHECK(idle.ended());
   CHECK(cluster.router->phase() == Router::Phase::draining);
-  CHECK(kept.answer() == 500);  // no node answers it: it is told before SIGKILL can come
-  CHECK(now() - told < 3.7);
-  CHECK(now() - told > 3);
-  CHECK(kept.last_head.find("Connection: close") != std::string::npos);
-  CHECK(kept.ended());
+  // No node answers it; the client gets the error before SIGKILL can come.
+  CHECK(open_client.answer() == 500);
+  CHECK(now() - drain_began < 3.7);
+  CHECK(now() - drain_began > 3);
+  CHECK(open_client.last_head.find("Connection: close") != std::string::npos);
+  CHECK(open_client.ended());
   CHECK(cluster.wait_until([&] { return cluster.router->phase() == Router::Phase::stopped; }));
 }
 
-TEST_CASE("a full table refuses by the module's rules and takes queries again once it has room") {
+TEST_CASE("at the limit of open queries new ones are rejected, and accepted again once there is room") {
   TestCluster cluster(3, 1024, 4);
-  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
+  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> pending;
   cluster.set_part_handler(
-      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+      [&](const auto& part, auto& from) { pending.emplace_back(part, from.shared_from_this()); });
   TestClient first(cluster), second(cluster);
   first.send(query_request("look", {1, 2, 3}));
-  REQUIRE(cluster.wait_until([&] { return held.size() == 3; }));
+  REQUIRE(cluster.wait_until([&] { return pending.size() == 3; }));
   second.send(query_request("change", {4}, "t2"));
   CHECK(second.answer() == 503);
-  CHECK(held.size() == 3);
-  for (auto& [part, from] : held) DataNode::answer(*from, part, "done", 1, "v");
+  CHECK(pending.size() == 3);
+  for (auto& [part, from] : pending) DataNode::answer(*from, part, "done", 1, "v");
   CHECK(first.answer() == 200);
   second.send(query_request("change", {4}, "t3"));
-  REQUIRE(cluster.wait_until([&] { return held.size() == 4; }));
+  REQUIRE(cluster.wait_until([&] { return pending.size() == 4; }));
 }
 
-TEST_CASE("at the bound of connections the oldest that holds no request makes room") {
-  TestCluster cluster(3, 64);  // half of what is left of them for nodes: 24 clients
-  std::vector<std::unique_ptr<TestClient>> crowd;
+TEST_CASE("at the limit of connections the oldest one without a request is closed") {
+  TestCluster cluster(3, 64);  // half of the unreserved ones are for nodes: 24 clients
+  std::vector<std::unique_ptr<TestClient>> idle_clients;
   for (int i = 0; i < 60; ++i) {
-    crowd.push_back(std::make_unique<TestClient>(cluster));
-    crowd.back()->send(i % 2 == 0 ? "POST /look HTTP/1.1\r\n" : "GET /_health HTTP/1.1\r\n\r\n");
-    if (i % 2 == 1) CHECK(crowd.back()->answer() == 200);
+    idle_clients.push_back(std::make_unique<TestClient>(cluster));
+    idle_clients.back()->send(i % 2 == 0 ? "POST /look HTTP/1.1\r\n" : "GET /_health HTTP/1.1\r\n\r\n");
+    if (i % 2 == 1) CHECK(idle_clients.back()->answer() == 200);
   }
   TestClient client(cluster);
   client.send(query_request("look", {1, 2}));
@@ -511,71 +522,72 @@
   CHECK(cluster.logged("client_room"));
 }
 
-TEST_CASE("a crowd that only connects does not push out a client that is at work") {
+TEST_CASE("many clients that only connect don't displace an active client") {
   TestCluster cluster(3, 64);
-  TestClient usual(cluster);
-  std::vector<std::unique_ptr<TestClient>> crowd;
+  TestClient active_client(cluster);
+  std::vector<std::unique_ptr<TestClient>> idle_clients;
   for (int round = 0; round < 8; ++round) {
-    usual.send(query_request("look", {1, 2}));
-    REQUIRE(usual.answer() == 200);
-    for (int i = 0; i < 10; ++i) crowd.push_back(std::make_unique<TestClient>(cluster));
-    cluster.wait_until([&] { return usual.closed; }, 0.3);
+    active_client.send(query_request("look", {1, 2}));
+    REQUIRE(active_client.answer() == 200);
+    for (int i = 0; i < 10; ++i) idle_clients.push_back(std::make_unique<TestClient>(cluster));
+    cluster.wait_until([&] { return active_client.closed; }, 0.3);
   }
-  CHECK(!usual.closed);
+  CHECK(!active_client.closed);
 }
 
-TEST_CASE("a node that restarts or moves is reached by new connections") {
+TEST_CASE("a node that restarts or changes its address gets new connections") {
   TestCluster cluster(1);
-  serve(cluster, 2);
+  serve_queries(cluster, 2);
   auto entry = toy::Discovery::entry("s-0", cluster.nodes[0]->at(), 0);
   entry.replace(entry.find("started_ms\":0"), 13, "started_ms\":1700000000000");
   cluster.discovery.tell(toy::Discovery::list(2, false, {entry}));
   REQUIRE(cluster.wait_until([&] { return cluster.logged("version=2"); }));
-  serve(cluster, 1);
+  serve_queries(cluster, 1);
   CHECK(cluster.nodes[0]->accepted() == 2);
   DataNode other(cluster.context);
   cluster.discovery.tell(toy::Discovery::list(3, false, {toy::Discovery::entry("s-0", other.at(), 0)}));
   REQUIRE(cluster.wait_until([&] { return cluster.logged("version=3"); }));
-  serve(cluster, 1);
+  serve_queries(cluster, 1);
   CHECK(other.parts.size() == 1);
 }
 
-TEST_CASE("an idle connection is closed before the node would do it, one with a call out is not") {
+TEST_CASE("an idle connection is closed before the node's timeout, one with a pending call isn't") {
   TestCluster cluster(1, 1024, 200, 0.6);
-  serve(cluster, 1);
+  serve_queries(cluster, 1);
   CHECK(cluster.nodes[0]->open() == 1);
   const auto start = now();
   REQUIRE(cluster.wait_until([&] { return cluster.nodes[0]->open() == 0; }));
   CHECK(now() - start < 0.6);
-  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
+  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> pending;
   cluster.set_part_handler(
-      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+      [&](const auto& part, auto& from) { pending.emplace_back(part, from.shared_from_this()); });
   TestClient client(cluster);
   client.send(query_request("change", {1}));
-  CHECK(!cluster.wait_until([&] { return cluster.nodes[0]->open() == 0 && !held.empty(); }, 0.8));
-  DataNode::answer(*held.at(0).second, held[0].first, "done", 1, "v");
+  CHECK(!cluster.wait_until([&] { return cluster.nodes[0]->open() == 0 && !pending.empty(); }, 0.8));
+  DataNode::answer(*pending.at(0).second, pending[0].first, "done", 1, "v");
   CHECK(client.answer() == 200);
 }
 
-TEST_CASE("a watch that falls silent is opened again, and the list stands meanwhile") {
+TEST_CASE("a watch that falls silent is reopened, and the list stays in use meanwhile") {
   TestCluster cluster;
   cluster.discovery.silent = true;
   REQUIRE(cluster.wait_until([&] { return cluster.discovery.asked.size() == 2; }));
   CHECK(cluster.logged("watch_lost why=\"silence\""));
-  serve(cluster, 1);
+  serve_queries(cluster, 1);
 }
 
-// Stopped between two steps of its loop, the router went on with the second: by the clock its watch was
-// silent, and it left it with a drain unread in it. For half a second it sent to the drained node.
-TEST_CASE("a router that stood still reads what came meanwhile before it goes by the clock") {
+// Guards against deciding by the clock right after a standstill: a router stopped between two steps of its
+// loop took its watch for silent and reopened it with a drain notice unread, and sent to the drained node for
+// half a second.
+TEST_CASE("a router that stood still reads its input before it acts on timeouts") {
   TestCluster cluster;
-  serve(cluster);
+  serve_queries(cluster);
   auto posted = false;
   boost::asio::post(cluster.context, [&] {
     cluster.discovery.tell(toy::Discovery::list(
         2, false, {toy::Discovery::entry("s-0", cluster.nodes[0]->at(), 0, "draining")}));
     std::this_thread::sleep_for(std::chrono::milliseconds(3400));
-    cluster.router->drain();  // its next step: all clients are served on
+    cluster.router->drain();  // the next step; all clients are still served
     posted = true;
   });
   REQUIRE(cluster.wait_until([&] { return posted && cluster.logged("version=2"); }));
@@ -583,20 +595,20 @@
   CHECK(cluster.discovery.asked.size() == 1);
 }
 
-TEST_CASE("a standstill is told by the time between two turns, and is over once all is read") {
+TEST_CASE("a standstill is detected by the time between turns, and is over once all input is read") {
   struct Row {
-    std::vector<std::pair<double, bool>> turns;  // when, and whether something lies there unread
+    std::vector<std::pair<double, bool>> turns;  // time, and whether there is unread input
     std::vector<bool> reads_first;
   };
   const Row rows[] = {
-      {{{10, true}, {10.1, true}, {10.3, true}}, {false, false, false}},  // usual turns
+      {{{10, true}, {10.1, true}, {10.3, true}}, {false, false, false}},  // regular turns
       {{{10, false}, {13, false}, {13.001, false}, {13.002, false}}, {false, true, true, false}},
       {{{10, false}, {13, true}, {13.01, true}, {13.02, false}, {13.03, true}},
        {false, true, true, false, false}},
       {{{10, false}, {13, true}, {13.2, true}, {13.25, true}},
-       {false, true, true, false}},  // never ends: bounded
+       {false, true, true, false}},  // input never ends: limited
       {{{10, false}, {13, false}, {14, false}, {14.1, false}},
-       {false, true, true, false}},  // stopped once more
+       {false, true, true, false}},  // a second standstill
   };
   for (const auto& row : rows) {
     StandstillDetector detector(0.25);
@@ -608,7 +620,7 @@
   }
 }
 
-TEST_CASE("twenty-five thousand names of nodes pass, and the last ones are as good as the first") {
+TEST_CASE("node numbers are reused: 25,000 node names come and go, and the last ones are served as well") {
   TestCluster cluster(3, 64);
   for (int version = 2; version <= 7; ++version) {
     std::vector<std::string> entries;
@@ -617,22 +629,24 @@
           toy::Discovery::entry(fmt::format("s-{}-{}", version, i), cluster.nodes[0]->at(), i % 3));
     cluster.discovery.tell(toy::Discovery::list(version, true, entries));
     REQUIRE(cluster.wait_until([&] { return cluster.logged(fmt::format("version={} ", version)); }));
-    cluster.wait_until([] { return false; }, 0.2);  // the next tick lets the former ones go
-    TestClient client(
-        cluster);  // a connection has 2.25 s for its request, and a slow machine reads such a list for longer
+    cluster.wait_until([] { return false; }, 0.2);  // the next tick releases the removed nodes
+    // A new client, as a connection has 2.25 s for its request and a slow host takes longer to read such a
+    // list.
+    TestClient client(cluster);
     client.send(query_request("look", {1, 2, 3}, "t" + std::to_string(version)));
     CHECK(client.answer() == 200);
   }
   CHECK(!cluster.logged("node_unknown"));
   cluster.discovery.tell(cluster.list(8, true));
   REQUIRE(cluster.wait_until([&] { return cluster.logged("version=8 "); }));
-  for (int i = 0; i < 50 && cluster.nodes[2]->parts.empty(); ++i) serve(cluster);
+  for (int i = 0; i < 50 && cluster.nodes[2]->parts.empty(); ++i) serve_queries(cluster);
   CHECK(!cluster.nodes[2]->parts.empty());
 }
 
 namespace {
 
-std::string with(std::string text, const std::vector<std::pair<std::string, std::string>>& changes) {
+std::string with_replacements(std::string text,
+                              const std::vector<std::pair<std::string, std::string>>& changes) {
   for (const auto& [from, to] : changes) {
     REQUIRE(text.find(from) != std::string::npos);
     text.replace(text.find(from), from.size(), to);
@@ -640,8 +654,9 @@
   return text;
 }
 
-// Sets in place of a ring, a list that is asked for, no Retry-After, other routers that could be told.
-const std::vector<std::pair<std::string, std::string>> kNewShape = {
+// Sets of nodes instead of a ring, a list that is requested, no Retry-After, messages between routers
+// allowed.
+const std::vector<std::pair<std::string, std::string>> kSecondShapeChanges = {
     {"\"balancers\":1", "\"balancers\":2,\"weights\":\"off\""},
     {"\"discovery\":\"push\"", "\"discovery\":\"ask\""},
     {"\"retry_after\":true", "\"retry_after\":false,\"peer_messages\":true,\"probes\":true"},
@@ -650,11 +665,12 @@
 
 }  // namespace
 
-TEST_CASE("one build serves either shape, by its settings alone") {
-  for (const bool moved : {false, true}) {
-    CAPTURE(moved);
-    TestCluster cluster(3, 1024, 200, 15, "",
-                        [&](std::string text) { return moved ? with(std::move(text), kNewShape) : text; });
+TEST_CASE("one build serves both shapes of a fleet, depending on its settings only") {
+  for (const bool second_shape : {false, true}) {
+    CAPTURE(second_shape);
+    TestCluster cluster(3, 1024, 200, 15, "", [&](std::string text) {
+      return second_shape ? with_replacements(std::move(text), kSecondShapeChanges) : text;
+    });
     std::vector<std::set<int>> shards(3);
     for (std::size_t i = 0; i < 3; ++i)
       cluster.nodes[i]->on_part = [&, i](const auto& part, auto& from) {
@@ -666,9 +682,9 @@
       client.send(query_request("look", {i % 8, (i + 1) % 8}, "q" + std::to_string(i)));
       CHECK(client.answer() == 200);
     }
-    for (std::size_t i = 0; moved && i < 3; ++i)
+    for (std::size_t i = 0; second_shape && i < 3; ++i)
       for (const auto shard : shards[i]) CHECK(shard % 3 == static_cast<int>(i));
-    CHECK(cluster.logged("left_out key=bounds.peer_messages") == moved);
+    CHECK(cluster.logged("left_out key=bounds.peer_messages") == second_shape);
   }
 }
 
@@ -704,14 +720,14 @@
   const auto good = toy::config(kAnyPort, cluster.discovery.at(), 3, cluster.discovery.whole);
   for (const auto& row : rows) {
     CAPTURE(row.why);
-    const auto bad = with(good, row.changes);
-    std::string said;
+    const auto bad = with_replacements(good, row.changes);
+    std::string error_text;
     try {
       parse_config(bad);
     } catch (const Malformed& error) {
-      said = error.what();
+      error_text = error.what();
     }
-    CHECK(said.starts_with(row.why));
+    CHECK(error_text.starts_with(row.why));
     cluster.write_config(bad);
     std::raise(SIGHUP);
     CHECK(cluster.wait_until([&] { return cluster.logged("reload_failed why=\"" + row.why); }));
@@ -723,14 +739,14 @@
   CHECK(client.answer() == 200);
 }
 
-TEST_CASE("SIGHUP: a new discovery is followed with queries in hand, a broken file changes nothing") {
+TEST_CASE("SIGHUP: a new discovery is followed with queries in progress, a broken file changes nothing") {
   TestCluster cluster;
-  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> held;
+  std::vector<std::pair<DataNode::Part, std::shared_ptr<toy::Session>>> pending;
   cluster.set_part_handler(
-      [&](const auto& part, auto& from) { held.emplace_back(part, from.shared_from_this()); });
+      [&](const auto& part, auto& from) { pending.emplace_back(part, from.shared_from_this()); });
   TestClient client(cluster);
   client.send(query_request("look", {1}));
-  REQUIRE(cluster.wait_until([&] { return held.size() == 1; }));
+  REQUIRE(cluster.wait_until([&] { return pending.size() == 1; }));
   const auto config = [&](const toy::Discovery& at) {
     return toy::config(kAnyPort, at.at(), 3, cluster.discovery.whole);
   };
@@ -744,7 +760,7 @@
   }
   cluster.discovery.tell(cluster.list(2, true));
   REQUIRE(cluster.wait_until([&] { return cluster.logged("version=2"); }));
-  // The new agent counts its versions from anew, and lacks two of the nodes.
+  // The new discovery starts its version count again and lacks two of the nodes.
   toy::Discovery first(cluster.context), second(cluster.context);
   const auto entry = toy::Discovery::entry("s-0", cluster.nodes[0]->at(), 0);
   first.whole = second.whole = toy::Discovery::list(1, true, {entry});
@@ -758,8 +774,8 @@
   REQUIRE(
       cluster.wait_until([&] { return cluster.logged("entries=1 ready=1") && second.asked.size() == 1; }));
   CHECK(cluster.wait_until([&] { return cluster.discovery.open() + first.open() == 0; }));
-  CHECK(held.size() == 1);
-  DataNode::answer(*held[0].second, held[0].first, "done", 1, "v");
+  CHECK(pending.size() == 1);
+  DataNode::answer(*pending[0].second, pending[0].first, "done", 1, "v");
   CHECK(client.answer() == 200);
   cluster.discovery.stop();
   const auto last = cluster.nodes[0]->parts.size();
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -1,7 +1,6 @@
-// A seeded town on the text wire: three routers, twelve nodes with faults, three verticals, drains and
-// restarts. What the routers reply over thousands of events is held to a checksum, so that a change of
-// structure which changes no decision can be told from one that does. YOKETURN_STREAM names a file for the
-// replies.
+// A seeded simulation of a cluster on the text protocol: three routers, twelve data nodes with faults, four
+// verticals, drains and restarts. The checksum of the routers' replies over thousands of events shows whether
+// a refactoring has changed any decision. YOKETURN_STREAM names a file that the replies are written to.
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
@@ -20,7 +19,7 @@
 namespace {
 
 constexpr int kRouters = 3, kNodes = 12, kCells = 6;
-constexpr long long kStep = 5000;  // us
+constexpr long long kFrameMicroseconds = 5000;
 
 std::string setup(int router) {
   std::string text =
@@ -56,37 +55,39 @@
     std::string line;
   };
 
-  double chance() { return std::uniform_real_distribution<>(0, 1)(engine); }
-  void plan(long long at, int router, std::string line) { due.emplace(at, Event{router, std::move(line)}); }
+  double chance() { return std::uniform_real_distribution<>(0, 1)(random_engine); }
+  void schedule(long long at, int router, std::string line) {
+    scheduled_events.emplace(at, Event{router, std::move(line)});
+  }
 
-  // How long a node works on a part, in us; below 0: it never answers. And what comes of it.
-  std::pair<long long, const char*> serve(int node, int vertical) {
-    auto took = static_cast<long long>(4000 + 30000 * chance() * chance() + 1500 * busy[node]);
+  // How long a node works on a part, in microseconds (below 0: it never answers), and the outcome.
+  std::pair<long long, const char*> simulate_call(int node, int vertical) {
+    auto duration = static_cast<long long>(4000 + 30000 * chance() * chance() + 1500 * busy[node]);
     const auto phase = clock / 1'000'000;
-    if (phase > 10 && phase < 20 && node == 3) took *= 12;
+    if (phase > 10 && phase < 20 && node == 3) duration *= 12;
     if (phase > 15 && phase < 25 && node == 5) return {-1, ""};
     if (phase > 25 && phase < 35 && node == 7 && vertical == 1) return {1000, "failure"};
     if (phase > 30 && phase < 36 && chance() < 0.06) return {-1, ""};
-    if (phase > 40 && phase < 48) took *= 4;
+    if (phase > 40 && phase < 48) duration *= 4;
     if (busy[node] > 40) return {500, "overloaded"};
     if (chance() < 0.003) return {2000, "broken"};
-    return {took, "success"};
+    return {duration, "success"};
   }
 
-  void place(int router, long long part, long long timeout, int node) {
+  void start_call(int router, long long part, long long timeout, int node) {
     auto& known = parts[{router, part}];
     const auto number = known.attempts.size();
     known.attempts.push_back({node, false});
-    const auto [took, end] = serve(node, static_cast<int>(known.ask % 4));
+    const auto [duration, end] = simulate_call(node, static_cast<int>(known.ask % 4));
     ++busy[node];
-    const auto late = took < 0 || took > timeout;
-    plan(clock + (late ? timeout : took), router,
-         fmt::format("response router-{} {} {} {} {} 1 1 -", router, part, number, node,
-                     late ? "timed_out" : end));
+    const auto late = duration < 0 || duration > timeout;
+    schedule(clock + (late ? timeout : duration), router,
+             fmt::format("response router-{} {} {} {} {} 1 1 -", router, part, number, node,
+                         late ? "timed_out" : end));
   }
 
-  // Reads a batch of replies.
-  void obey(const std::string& replies) {
+  // Carries out a batch of the routers' replies.
+  void process_replies(const std::string& replies) {
     std::istringstream in(replies);
     for (std::string verb, name; in >> verb;) {
       std::string rest;
@@ -99,15 +100,15 @@
       std::string token;
       if (verb == "notify_me") {
         words >> token >> first;
-        plan(clock + first, router, fmt::format("reminder router-{} {}", router, token));
+        schedule(clock + first, router, fmt::format("reminder router-{} {}", router, token));
         continue;
       }
       words >> first >> second >> third;
-      if (verb == "place") place(router, first, second, static_cast<int>(third));
+      if (verb == "place") start_call(router, first, second, static_cast<int>(third));
       if (verb == "withdraw")
-        plan(clock + kStep, router,
-             fmt::format("response router-{} {} {} 0 withdrawn 1 1 -", router, first, second));
-      if (verb == "keep_informed") plan(clock + 20000, router, list(router, "total"));
+        schedule(clock + kFrameMicroseconds, router,
+                 fmt::format("response router-{} {} {} 0 withdrawn 1 1 -", router, first, second));
+      if (verb == "keep_informed") schedule(clock + 20000, router, list(router, "total"));
     }
   }
 
@@ -116,34 +117,34 @@
     const auto phase = clock / 1'000'000;
     for (int node = 0; node < kNodes; ++node) {
       const auto drained = node == 9 && phase > 20 && phase < 30;
-      const auto born = node == 2 && phase >= 12 ? "12000000" : "-";
+      const auto started = node == 2 && phase >= 12 ? "12000000" : "-";
       text += fmt::format("node {} {} kind {} {} 1 {}\n", node, node % 2 ? "b" : "a", node % kCells,
-                          drained ? 'D' : 'U', born);
+                          drained ? 'D' : 'U', started);
     }
     return text + fmt::format("membership router-{} {} 0 1", router, kind);
   }
 
-  void arrive(int router, std::string& in) {
+  void add_query(int router, std::string& in) {
     const auto vertical = static_cast<int>(last % 4);
     const auto ask = last++;
-    const auto many = 1 + static_cast<int>(chance() * 4);
+    const auto part_count = 1 + static_cast<int>(chance() * 4);
     const auto marks = (chance() < 0.8 ? 1 : 0) + (chance() < 0.1 ? 2 : 0);
     const auto customer = chance() < 0.4 ? "c" : "-";
     const auto expires = clock + (chance() < 0.1 ? 200000 : 1500000);
     const auto query = ask * 100;
     in += fmt::format("demand router-{} {} v{} {} - {} {} {} -1 1 {}\n", router, query, vertical, customer,
-                      expires, many * 9000, ask, marks);
+                      expires, part_count * 9000, ask, marks);
     const auto from = static_cast<int>(chance() * kCells);
-    for (int i = 0; i < many; ++i) {
+    for (int i = 0; i < part_count; ++i) {
       parts[{router, query + 1 + i}].ask = ask;
       in += fmt::format("demand router-{} {} v{} {} - {} {} {} {} {} {}\n", router, query + 1 + i, vertical,
                         customer, expires, 4000 + static_cast<int>(chance() * 20000), ask,
-                        (from + i) % kCells, 1.0 / many, marks);
+                        (from + i) % kCells, 1.0 / part_count, marks);
     }
-    if (chance() < 0.02) plan(clock + 60000, router, fmt::format("gone router-{} {}", router, query));
+    if (chance() < 0.02) schedule(clock + 60000, router, fmt::format("gone router-{} {}", router, query));
   }
 
-  std::string turn(const std::string& in) {
+  std::string run_frame(const std::string& in) {
     std::istringstream input(in);
     std::ostringstream out;
     host.run(input, out, log);
@@ -156,15 +157,15 @@
     for (int i = 0; i < kRouters; ++i)
       in += fmt::format("open_instance router-{} {} {}\n{}\n", i, 17 + i, setup(i), list(i, "warm_copy"));
     for (long long frame = 1; clock < seconds * 1'000'000; ++frame) {
-      const auto replies = turn(in + "go\n");
+      const auto replies = run_frame(in + "go\n");
       all += replies;
-      obey(replies);
-      clock += kStep;
-      if (clock > 50'000'000 && clock < 50'400'000) clock = 50'400'000;  // all stood still
+      process_replies(replies);
+      clock += kFrameMicroseconds;
+      if (clock > 50'000'000 && clock < 50'400'000) clock = 50'400'000;  // all processes stand still
       in = fmt::format("frame {} {}\n", clock, frame);
-      while (!due.empty() && due.begin()->first <= clock) {
-        const auto event = due.begin()->second;
-        due.erase(due.begin());
+      while (!scheduled_events.empty() && scheduled_events.begin()->first <= clock) {
+        const auto event = scheduled_events.begin()->second;
+        scheduled_events.erase(scheduled_events.begin());
         if (event.line.starts_with("response ")) {
           std::istringstream words(event.line);
           std::string word;
@@ -180,7 +181,7 @@
         in += event.line + "\n";
       }
       for (int router = 0; router < kRouters; ++router)
-        if (chance() < (clock > 42'000'000 && clock < 46'000'000 ? 0.5 : 0.15)) arrive(router, in);
+        if (chance() < (clock > 42'000'000 && clock < 46'000'000 ? 0.5 : 0.15)) add_query(router, in);
       if (clock == 33'000'000)
         in += fmt::format("teardown router-1\nopen_instance router-1 99 {}\n{}\n", setup(1),
                           list(1, "warm_copy"));
@@ -192,9 +193,9 @@
 
   wire::Host host;
   std::ostringstream log;
-  std::mt19937 engine{20};
+  std::mt19937 random_engine{20};
   long long clock = 1'000'000, last = 0, outcomes = 0;
-  std::multimap<long long, Event> due;
+  std::multimap<long long, Event> scheduled_events;
   std::map<std::pair<int, long long>, Part> parts;
   std::map<int, int> busy;
 };
@@ -203,7 +204,7 @@
 
 TEST_SUITE_BEGIN("stream");
 
-TEST_CASE("a recorded town gets the same replies, byte for byte") {
+TEST_CASE("a recorded cluster run gets the same replies, byte for byte") {
   TestCluster cluster;
   const auto replies = cluster.run(60);
   if (const char* path = std::getenv("YOKETURN_STREAM")) std::ofstream(path) << replies;
