--- a/src/time/wall_deadline.hpp
+++ b/src/time/wall_deadline.hpp
@@ -11,9 +11,11 @@
 // even if the same deadline is given again; a different deadline is converted anew.
 class WallDeadline {
  public:
-  // The deadline in seconds on the monotonic clock. `now` and `wall_now` are the same instant on the two clocks.
+  // The deadline in seconds on the monotonic clock. `now` and `wall_now` are the same instant on the two
+  // clocks.
   double to_monotonic(WallTime until, WallTime wall_now, double now) {
-    if (!converted_ || converted_->until != until) converted_ = Converted{until, now + seconds_between(wall_now, until)};
+    if (!converted_ || converted_->until != until)
+      converted_ = Converted{until, now + seconds_between(wall_now, until)};
     return converted_->monotonic_seconds;
   }
 
