--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -136,7 +136,7 @@
   const auto zones = index(config.zones);
   PlannedTown town;
   town.sites = static_cast<int>(zones.size());
-  town.shards = config.bounds.shards;
+  town.shards = config.connection_limits.shards;
   town.cells = config.settings.cells;
   town.span = config.settings.span;
   town.settings = config.settings;
--- a/src/router/config.cpp
+++ b/src/router/config.cpp
@@ -46,7 +46,7 @@
   check_shape(config.raw_settings);
   config.settings = settings(config.raw_settings);
   config.ignores_peer_messages = std::exchange(config.settings.may_tell, false);
-  config.bounds = bounds(config.raw_settings);
+  config.connection_limits = bounds(config.raw_settings);
   std::string hashed = fmt::format("{}/{}", config.max_sockets, config.memory_bytes);
   for (const auto& [path, value] : config.raw_settings)
     if (path != "zone") hashed += fmt::format(";{}={}", path, value);
@@ -67,7 +67,7 @@
 }
 
 void load_operators_file(Config& config, const std::string& path) {
-  config.operators = load_operators(path, config.memory_bytes);
+  config.operator_settings = load_operators(path, config.memory_bytes);
   config.operators_path = path;
 }
 
--- a/src/router/config.hpp
+++ b/src/router/config.hpp
@@ -22,14 +22,14 @@
   std::size_t max_sockets = 0;   // file descriptors the router may use
   std::size_t memory_bytes = 0;  // the router may use; 0: not stated
   MemberList initial_members;    // in use until discovery sends a list
-  Pairs raw_settings;            // as read from the file; `settings` and `bounds` are derived from them
+  Pairs raw_settings;  // as read from the file; `settings` and `connection_limits` are derived from them
   Settings settings;
   // The settings allow messages between routers, but the protocol has no path for them: none are sent.
   bool ignores_peer_messages = false;
-  Bounds bounds;
+  Bounds connection_limits;
   std::vector<std::string> verticals, zones;
   std::string operators_path;  // of the operators' file; empty: there is none
-  Operators operators = default_operators();
+  Operators operator_settings = default_operators();
 };
 
 Config parse_config(std::string_view text);                         // throws Malformed
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -30,7 +30,7 @@
 constexpr std::size_t kTimelineSockets = 2;  // its listener and a segment file, beside those of its readers
 
 std::size_t reserved_sockets(const Config& config) {
-  const auto& timeline = config.operators.timeline;
+  const auto& timeline = config.operator_settings.timeline;
   return kReservedSockets +
          (timeline.on
               ? kTimelineSockets + (timeline.listen.empty() ? 0 : static_cast<std::size_t>(timeline.readers))
@@ -80,7 +80,7 @@
 }
 
 QuerySchema make_query_schema(const Config& config) {
-  QuerySchema schema{index(config.verticals), {}, config.bounds.shards};
+  QuerySchema schema{index(config.verticals), {}, config.connection_limits.shards};
   for (const auto& vertical : config.settings.verticals) schema.effects.push_back(vertical.effect);
   return schema;
 }
@@ -117,7 +117,7 @@
       query_schema_(make_query_schema(config)),
       zones_(index(config.zones)),
       unix_at_zero_(unix_at_zero()),
-      shutdown_(config.bounds.longest_wait),
+      shutdown_(config.connection_limits.longest_wait),
       standstill_(kMinStandstillSeconds),
       node_ages_(config.settings.cold_time),
       version_reporter_({config.name, own_site(config), config.verticals}, config.seed, now(), unix_at_zero_,
@@ -129,7 +129,7 @@
                          }}),
       current_discovery_(config.discovery),
       queries_(config.settings, config.seed, now(), timers_, *this),
-      pool_(context, timers_, node_limits(config.bounds), node_connections(config), log, *this),
+      pool_(context, timers_, node_limits(config.connection_limits), node_connections(config), log, *this),
       clients_(context, timers_, config.max_sockets - reserved_sockets(config) - node_connections(config),
                config.max_sockets / kMakeRoomDivisor, log, *this),
       watch_(context, timers_, config.discovery, log, *this),
@@ -148,16 +148,16 @@
   signals_.add(SIGTERM);
   signals_.add(SIGHUP);
   await_signal();
-  log_.shape(log_form(config_.operators));
+  log_.shape(log_form(config_.operator_settings));
   version_reporter_.on_version_change = [this](Subject subject) {
     if (recorder_)
       recorder_->version(subject, version_reporter_.versions().version(subject),
                          version_reporter_.versions().number(), now());
   };
-  apply_operators(config_.operators);
+  apply_operators(config_.operator_settings);
   version_reporter_.set_file_version(Subject::configuration, config_.hash, config_.path, now());
-  version_reporter_.set_file_version(Subject::operators, config_.operators.hash, config_.operators_path,
-                                     now());
+  version_reporter_.set_file_version(Subject::operators, config_.operator_settings.hash,
+                                     config_.operators_path, now());
   clients_.open(config_.listen);
   log_.line("phase", "name={} router={} listen={}:{}", name(phase_), config_.name,
             config_.listen.address().to_string(), config_.listen.port());
@@ -244,7 +244,7 @@
 
 // All that can fail comes first, before anything is changed.
 void Router::apply_operators(const Operators& operators) {
-  const auto& before = config_.operators;
+  const auto& before = config_.operator_settings;
   const auto same_recorder = recorder_ && operators.timeline.memory == before.timeline.memory &&
                              operators.timeline.fine == before.timeline.fine &&
                              operators.timeline.lines == before.timeline.lines &&
@@ -268,7 +268,7 @@
   if (server_) server_->bound(operators.timeline.readers);
   // Stopping the segment writer waits for its disk, so keep it if none of its settings change.
   const auto same_segments = same_recorder && operators.segments == before.segments;
-  config_.operators = operators;
+  config_.operator_settings = operators;
   const auto applied_at = now();
   version_reporter_.configure(operators.fleet, server_ != nullptr);
   queries_.sites().on(sites.on);
@@ -363,7 +363,7 @@
   if (segments_ && segments_->failures() > last_segment_failures_) {
     last_segment_failures_ = segments_->failures();
     log_.line("segment_failed", "why=\"{}\" folder=\"{}\"", segments_->trouble(),
-              config_.operators.segments.folder);
+              config_.operator_settings.segments.folder);
   }
   for (const auto& change : recorder_->tick(at, unix_at_zero())) {
     const auto vertical =
@@ -374,7 +374,8 @@
               why_name(What::departed, static_cast<std::uint8_t>(change.kind)), vertical,
               change.began + unix_at_zero_, change.evidence, change.usual);
   }
-  if (const auto every = config_.operators.timeline.reports; every > 0 && at >= next_load_request_at_) {
+  if (const auto every = config_.operator_settings.timeline.reports;
+      every > 0 && at >= next_load_request_at_) {
     next_load_request_at_ = at + every;
     pool_.ask_loads();
   }
@@ -585,7 +586,7 @@
   // A query that arrives this late must be answered before SIGKILL.
   if (phase_ == Phase::draining) query.expires = std::min(query.expires, shutdown_.answer_deadline());
   query.client_retry = request.client_retry;
-  const auto no_room = open_count_ >= config_.bounds.max_open;
+  const auto no_room = open_count_ >= config_.connection_limits.max_open;
   if (no_room || version_reporter_.rejects_new_query(at))
     query.barred = no_room ? Reason::no_room : Reason::shut_out;
   for (const auto& target : request.targets) query.work += target.work;
@@ -603,7 +604,7 @@
     recorder_->taken(number, request.id, request.vertical, at);
     if (no_room)
       recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::queries), open_count_,
-                      config_.bounds.max_open, at);
+                      config_.connection_limits.max_open, at);
   }
   queries_.take(number, std::move(query), at);
   for (const auto& target : request.targets) {
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -235,8 +235,8 @@
   CHECK(config.settings.zone == 0);
   CHECK(config.settings.customers.empty());
   CHECK(config.settings.max_stay_away == 0.5);
-  CHECK(config.bounds.idle_timeout == 15);
-  CHECK(config.bounds.max_open == 200);
+  CHECK(config.connection_limits.idle_timeout == 15);
+  CHECK(config.connection_limits.max_open == 200);
   const auto wire = pairs("a=1 classes.count=1 classes.0.name=look");
   CHECK(names(wire, "classes") == std::vector<std::string>{"look"});
 }
--- a/tests/test_cluster.hpp
+++ b/tests/test_cluster.hpp
@@ -33,7 +33,7 @@
     auto settings = toy::config(kAnyPort, discovery.at(), node_count, discovery.whole, max_sockets, max_open);
     write_config(alter_config ? alter_config(std::move(settings)) : settings);
     auto config = load_config(path);
-    config.bounds.idle_timeout = idle_timeout;
+    config.connection_limits.idle_timeout = idle_timeout;
     if (!operators.empty()) {
       std::ofstream(operators_path) << operators;
       load_operators_file(config, operators_path);
