--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -47,7 +47,7 @@
     bool done = false;
   };
   struct Part {
-    long long ask = 0;
+    long long query_index = 0;
     std::vector<Attempt> attempts;
   };
   struct Event {
@@ -62,36 +62,37 @@
 
   // How long a node works on a part, in microseconds (below 0: it never answers), and the outcome.
   std::pair<long long, const char*> simulate_call(int node, int vertical) {
-    auto duration = static_cast<long long>(4000 + 30000 * chance() * chance() + 1500 * busy[node]);
+    auto duration =
+        static_cast<long long>(4000 + 30000 * chance() * chance() + 1500 * calls_in_progress[node]);
     const auto phase = clock / 1'000'000;
     if (phase > 10 && phase < 20 && node == 3) duration *= 12;
     if (phase > 15 && phase < 25 && node == 5) return {-1, ""};
     if (phase > 25 && phase < 35 && node == 7 && vertical == 1) return {1000, "failure"};
     if (phase > 30 && phase < 36 && chance() < 0.06) return {-1, ""};
     if (phase > 40 && phase < 48) duration *= 4;
-    if (busy[node] > 40) return {500, "overloaded"};
+    if (calls_in_progress[node] > 40) return {500, "overloaded"};
     if (chance() < 0.003) return {2000, "broken"};
     return {duration, "success"};
   }
 
   void start_call(int router, long long part, long long timeout, int node) {
-    auto& known = parts[{router, part}];
-    const auto number = known.attempts.size();
-    known.attempts.push_back({node, false});
-    const auto [duration, end] = simulate_call(node, static_cast<int>(known.ask % 4));
-    ++busy[node];
+    auto& part_state = parts[{router, part}];
+    const auto attempt_index = part_state.attempts.size();
+    part_state.attempts.push_back({node, false});
+    const auto [duration, end] = simulate_call(node, static_cast<int>(part_state.query_index % 4));
+    ++calls_in_progress[node];
     const auto late = duration < 0 || duration > timeout;
     schedule(clock + (late ? timeout : duration), router,
-             fmt::format("response router-{} {} {} {} {} 1 1 -", router, part, number, node,
+             fmt::format("response router-{} {} {} {} {} 1 1 -", router, part, attempt_index, node,
                          late ? "timed_out" : end));
   }
 
   // Carries out a batch of the routers' replies.
   void process_replies(const std::string& replies) {
-    std::istringstream in(replies);
-    for (std::string verb, name; in >> verb;) {
+    std::istringstream lines(replies);
+    for (std::string verb, name; lines >> verb;) {
       std::string rest;
-      std::getline(in, rest);
+      std::getline(lines, rest);
       std::istringstream words(rest);
       words >> name;
       if (verb == "end") continue;
@@ -116,88 +117,88 @@
     auto text = fmt::format("inventory 0 {}\n", kNodes);
     const auto phase = clock / 1'000'000;
     for (int node = 0; node < kNodes; ++node) {
-      const auto drained = node == 9 && phase > 20 && phase < 30;
+      const auto draining = node == 9 && phase > 20 && phase < 30;
       const auto started = node == 2 && phase >= 12 ? "12000000" : "-";
       text += fmt::format("node {} {} kind {} {} 1 {}\n", node, node % 2 ? "b" : "a", node % kCells,
-                          drained ? 'D' : 'U', started);
+                          draining ? 'D' : 'U', started);
     }
     return text + fmt::format("membership router-{} {} 0 1", router, kind);
   }
 
-  void add_query(int router, std::string& in) {
-    const auto vertical = static_cast<int>(last % 4);
-    const auto ask = last++;
+  void add_query(int router, std::string& input) {
+    const auto vertical = static_cast<int>(next_query_index % 4);
+    const auto query_index = next_query_index++;
     const auto part_count = 1 + static_cast<int>(chance() * 4);
     const auto marks = (chance() < 0.8 ? 1 : 0) + (chance() < 0.1 ? 2 : 0);
     const auto customer = chance() < 0.4 ? "c" : "-";
     const auto expires = clock + (chance() < 0.1 ? 200000 : 1500000);
-    const auto query = ask * 100;
-    in += fmt::format("demand router-{} {} v{} {} - {} {} {} -1 1 {}\n", router, query, vertical, customer,
-                      expires, part_count * 9000, ask, marks);
+    const auto query = query_index * 100;
+    input += fmt::format("demand router-{} {} v{} {} - {} {} {} -1 1 {}\n", router, query, vertical, customer,
+                         expires, part_count * 9000, query_index, marks);
     const auto from = static_cast<int>(chance() * kCells);
     for (int i = 0; i < part_count; ++i) {
-      parts[{router, query + 1 + i}].ask = ask;
-      in += fmt::format("demand router-{} {} v{} {} - {} {} {} {} {} {}\n", router, query + 1 + i, vertical,
-                        customer, expires, 4000 + static_cast<int>(chance() * 20000), ask,
-                        (from + i) % kCells, 1.0 / part_count, marks);
+      parts[{router, query + 1 + i}].query_index = query_index;
+      input += fmt::format("demand router-{} {} v{} {} - {} {} {} {} {} {}\n", router, query + 1 + i,
+                           vertical, customer, expires, 4000 + static_cast<int>(chance() * 20000),
+                           query_index, (from + i) % kCells, 1.0 / part_count, marks);
     }
     if (chance() < 0.02) schedule(clock + 60000, router, fmt::format("gone router-{} {}", router, query));
   }
 
-  std::string run_frame(const std::string& in) {
-    std::istringstream input(in);
+  std::string run_frame(const std::string& input) {
+    std::istringstream lines(input);
     std::ostringstream out;
-    host.run(input, out, log);
+    host.run(lines, out, log);
     return out.str();
   }
 
   std::string run(long long seconds) {
-    std::string all;
-    std::string in = fmt::format("frame {} 0\n", clock);
+    std::string all_replies;
+    std::string input = fmt::format("frame {} 0\n", clock);
     for (int i = 0; i < kRouters; ++i)
-      in += fmt::format("open_instance router-{} {} {}\n{}\n", i, 17 + i, setup(i), list(i, "warm_copy"));
+      input += fmt::format("open_instance router-{} {} {}\n{}\n", i, 17 + i, setup(i), list(i, "warm_copy"));
     for (long long frame = 1; clock < seconds * 1'000'000; ++frame) {
-      const auto replies = run_frame(in + "go\n");
-      all += replies;
+      const auto replies = run_frame(input + "go\n");
+      all_replies += replies;
       process_replies(replies);
       clock += kFrameMicroseconds;
       if (clock > 50'000'000 && clock < 50'400'000) clock = 50'400'000;  // all processes stand still
-      in = fmt::format("frame {} {}\n", clock, frame);
+      input = fmt::format("frame {} {}\n", clock, frame);
       while (!scheduled_events.empty() && scheduled_events.begin()->first <= clock) {
         const auto event = scheduled_events.begin()->second;
         scheduled_events.erase(scheduled_events.begin());
         if (event.line.starts_with("response ")) {
           std::istringstream words(event.line);
           std::string word;
-          long long part = 0, number = 0;
-          words >> word >> word >> part >> number;
+          long long part = 0, attempt_index = 0;
+          words >> word >> word >> part >> attempt_index;
           auto& attempts = parts[{event.router, part}].attempts;
-          if (static_cast<std::size_t>(number) >= attempts.size()) continue;
-          auto& attempt = attempts[static_cast<std::size_t>(number)];
+          if (static_cast<std::size_t>(attempt_index) >= attempts.size()) continue;
+          auto& attempt = attempts[static_cast<std::size_t>(attempt_index)];
           if (std::exchange(attempt.done, true)) continue;
-          --busy[attempt.node];
+          --calls_in_progress[attempt.node];
           ++outcomes;
         }
-        in += event.line + "\n";
+        input += event.line + "\n";
       }
       for (int router = 0; router < kRouters; ++router)
-        if (chance() < (clock > 42'000'000 && clock < 46'000'000 ? 0.5 : 0.15)) add_query(router, in);
+        if (chance() < (clock > 42'000'000 && clock < 46'000'000 ? 0.5 : 0.15)) add_query(router, input);
       if (clock == 33'000'000)
-        in += fmt::format("teardown router-1\nopen_instance router-1 99 {}\n{}\n", setup(1),
-                          list(1, "warm_copy"));
+        input += fmt::format("teardown router-1\nopen_instance router-1 99 {}\n{}\n", setup(1),
+                             list(1, "warm_copy"));
       if (clock % 2'000'000 == 0)
-        for (int router = 0; router < kRouters; ++router) in += list(router, "incr") + "\n";
+        for (int router = 0; router < kRouters; ++router) input += list(router, "incr") + "\n";
     }
-    return all;
+    return all_replies;
   }
 
   wire::Host host;
   std::ostringstream log;
   std::mt19937 random_engine{20};
-  long long clock = 1'000'000, last = 0, outcomes = 0;
+  long long clock = 1'000'000, next_query_index = 0, outcomes = 0;
   std::multimap<long long, Event> scheduled_events;
   std::map<std::pair<int, long long>, Part> parts;
-  std::map<int, int> busy;
+  std::map<int, int> calls_in_progress;
 };
 
 }  // namespace
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -1,4 +1,4 @@
-// A module with its queries in hand, without wire or bench.
+// A decision module with its queries for tests, without wire protocol or emulator.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -10,8 +10,8 @@
 
 namespace yoketurn::test {
 
-// Three nodes, each holding every shard; a repeatable, a deduplicated and a side-effecting vertical, SLO time
-// 1 s.
+// Settings of three nodes that hold every shard each, with a repeatable, a deduplicated and a side-effecting
+// vertical; the SLO time is 1 s.
 inline Settings settings() {
   Settings s;
   for (const auto effect : {Effect::repeatable, Effect::deduplicated, Effect::side_effecting}) {
@@ -67,15 +67,16 @@
     return brain.settle(q, index, static_cast<int>(at), now);
   }
 
-  // Queries of one part, each answered after so long; returns the sends each node had.
-  std::vector<int> serve(int many, double took, int vertical = 0) {
+  // Runs queries of one part one after another, each answered after `latency` seconds. Returns the number of
+  // parts sent to each node.
+  std::vector<int> serve(int count, double latency, int vertical = 0) {
     std::vector<int> sent(hosts.size(), 0);
-    for (int i = 0; i < many; ++i) {
+    for (int i = 0; i < count; ++i) {
       auto q = query(vertical, 1);
       const auto answer = route(q);
       if (answer.sends.empty()) continue;
       ++sent[static_cast<std::size_t>(answer.sends[0].node)];
-      pass(took);
+      pass(latency);
       settle(q, 0, Outcome::success);
     }
     return sent;
