--- a/src/clients/connection.cpp
+++ b/src/clients/connection.cpp
@@ -42,12 +42,12 @@
 
 }  // namespace
 
-ClientConnection::ClientConnection(asio::ip::tcp::socket socket, DueTimes& timers, Owner& owner, int id)
+ClientConnection::ClientConnection(asio::ip::tcp::socket socket, TimerQueue& timers, Owner& owner, int id)
     : socket_(std::move(socket)),
       timers_(timers),
       owner_(owner),
       id_(id),
-      timer_key_(timers.fresh_key()),
+      timer_key_(timers.new_key()),
       waiting_since_(now()),
       opened_at_(waiting_since_),
       in_(2 * kMaxHeaderBytes),
@@ -64,7 +64,7 @@
 }
 
 void ClientConnection::set_timeout(double at) {
-  timers_.set(timer_key_, at, [weak = weak_from_this()](double) {
+  timers_.schedule(timer_key_, at, [weak = weak_from_this()](double) {
     if (const auto self = weak.lock()) self->on_timeout();
   });
 }
@@ -110,7 +110,7 @@
 // either. Without this poll, parts would still be sent for a client that sent much at once and disconnected
 // long ago.
 void ClientConnection::poll_disconnect() {
-  timers_.set(timer_key_, now() + kDisconnectPollSeconds, [weak = weak_from_this()](double) {
+  timers_.schedule(timer_key_, now() + kDisconnectPollSeconds, [weak = weak_from_this()](double) {
     const auto self = weak.lock();
     if (!self || self->state_ != State::answer_pending) return;
     if (self->peer_disconnected()) return self->on_connection_lost();
@@ -144,7 +144,7 @@
   boost::system::error_code error;
   const auto count = socket_.read_some(in_.space(), error);
   if (is_out_of_memory(error))
-    return timers_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &ClientConnection::read);
+    return timers_.schedule_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &ClientConnection::read);
   if (is_transient(error)) return read();
   if (error) return on_connection_lost();
   in_.commit(count);
@@ -201,7 +201,7 @@
     return;
   }
   state_ = State::answer_pending;
-  timers_.drop(timer_key_);
+  timers_.cancel(timer_key_);
   owner_.connection_event(*this, What::request, now() - waiting_since_, 0);
   request_at_ = now();
   keep_alive_ = parser_->keep_alive();
@@ -212,7 +212,7 @@
 }
 
 void ClientConnection::reject(int status, std::string_view why) {
-  timers_.drop(timer_key_);
+  timers_.cancel(timer_key_);
   state_ = State::answer_pending;
   request_at_ = now();
   if (close_reason_ == Shut::by_client) close_reason_ = Shut::bad;
@@ -241,7 +241,8 @@
   while (out_.size() > 0 && !error) out_.consume(socket_.write_some(out_.data(), error));
   if (is_transient(error)) return await_writable();
   if (is_out_of_memory(error))
-    return timers_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &ClientConnection::write);
+    return timers_.schedule_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(),
+                                 &ClientConnection::write);
   if (!error && state_ != State::answering) return;
   writing_ = true;
   asio::post(socket_.get_executor(), [self = shared_from_this(), failed = bool(error)] {
@@ -265,7 +266,7 @@
 void ClientConnection::on_written() {
   out_.release();
   parser_.reset();
-  timers_.drop(timer_key_);
+  timers_.cancel(timer_key_);
   request_begun_ = continue_sent_ = false;
   has_answered_ = true;
   ++answer_count_;
@@ -300,7 +301,7 @@
   if (state_ == State::closed) return;
   close_reason_ = why;
   state_ = State::closed;
-  timers_.drop(timer_key_);
+  timers_.cancel(timer_key_);
   boost::system::error_code ignored;
   socket_.close(ignored);
   owner_.connection_closed(*this);
--- a/src/clients/connection.hpp
+++ b/src/clients/connection.hpp
@@ -32,7 +32,7 @@
     virtual bool keeps_connections_open() const = 0;  // after an answer
   };
 
-  ClientConnection(boost::asio::ip::tcp::socket socket, DueTimes& timers, Owner& owner, int id);
+  ClientConnection(boost::asio::ip::tcp::socket socket, TimerQueue& timers, Owner& owner, int id);
 
   void start();
   // Answers the request that is pending; does nothing if there is none. retry_after: seconds, 0: no such
@@ -76,10 +76,10 @@
   void on_connection_lost();
 
   boost::asio::ip::tcp::socket socket_;
-  DueTimes& timers_;
+  TimerQueue& timers_;
   Owner& owner_;
   int id_;
-  DueTimes::Key timer_key_;
+  TimerQueue::Key timer_key_;
   State state_ = State::reading;
   bool request_begun_ = false;
   bool keep_alive_ = true;
--- a/src/clients/listener.cpp
+++ b/src/clients/listener.cpp
@@ -23,12 +23,12 @@
 
 }  // namespace
 
-ClientListener::ClientListener(asio::io_context& context, DueTimes& timers, std::size_t max_connections,
+ClientListener::ClientListener(asio::io_context& context, TimerQueue& timers, std::size_t max_connections,
                                std::size_t make_room_from, Log& log, RequestHandler& handler)
     : context_(context),
       acceptor_(context),
       timers_(timers),
-      timer_key_(timers.fresh_key()),
+      timer_key_(timers.new_key()),
       max_connections_(max_connections),
       make_room_from_(make_room_from),
       log_(log),
@@ -88,7 +88,7 @@
 }
 
 void ClientListener::accept_later(double at) {
-  timers_.set(timer_key_, at, [this](double) { accept(); });
+  timers_.schedule(timer_key_, at, [this](double) { accept(); });
 }
 
 void ClientListener::admit(asio::ip::tcp::socket socket) {
@@ -160,7 +160,7 @@
   accept();
   boost::system::error_code ignored;
   acceptor_.close(ignored);
-  timers_.drop(timer_key_);
+  timers_.cancel(timer_key_);
 }
 
 void ClientListener::request_received(ClientConnection& connection,
--- a/src/clients/listener.hpp
+++ b/src/clients/listener.hpp
@@ -25,7 +25,7 @@
   };
 
   // From make_room_from connections on, one connection that waits for a request is closed for each new one.
-  ClientListener(boost::asio::io_context& context, DueTimes& timers, std::size_t max_connections,
+  ClientListener(boost::asio::io_context& context, TimerQueue& timers, std::size_t max_connections,
                  std::size_t make_room_from, Log& log, RequestHandler& handler);
   ~ClientListener();
 
@@ -54,8 +54,8 @@
 
   boost::asio::io_context& context_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  DueTimes& timers_;
-  DueTimes::Key timer_key_;
+  TimerQueue& timers_;
+  TimerQueue::Key timer_key_;
   std::size_t max_connections_;
   std::size_t make_room_from_;
   Log& log_;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -74,7 +74,7 @@
     boost::system::error_code error;
     const auto count = socket.read_some(ring.space(), error);
     if (watch != nullptr && is_out_of_memory(error))
-      return watch->due_.set_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &Connection::read);
+      return watch->due_.schedule_once(now() + kOutOfMemoryRetrySeconds, weak_from_this(), &Connection::read);
     if (is_transient(error)) return read();
     if (error) return fail(error.message());
     ring.commit(count);
@@ -128,14 +128,9 @@
   std::size_t list_size = 0;        // its bytes so far
 };
 
-Watch::Watch(asio::io_context& context, DueTimes& due, const asio::ip::tcp::endpoint& agent, Log& log,
+Watch::Watch(asio::io_context& context, TimerQueue& due, const asio::ip::tcp::endpoint& agent, Log& log,
              Listener& listener)
-    : context_(context),
-      due_(due),
-      agent_(agent),
-      log_(log),
-      listener_(listener),
-      due_key_(due.fresh_key()) {}
+    : context_(context), due_(due), agent_(agent), log_(log), listener_(listener), due_key_(due.new_key()) {}
 
 Watch::~Watch() {
   if (connection_) connection_->watch = nullptr;
@@ -174,7 +169,7 @@
 }
 
 void Watch::await_word(double patience) {
-  due_.set(due_key_, now() + patience, [this](double) {
+  due_.schedule(due_key_, now() + patience, [this](double) {
     if (unread()) return await_word(kReadsFirst);  // the router is behind, not discovery
     lost("silence");
   });
@@ -227,7 +222,7 @@
   log_.line("watch_lost", "why=\"{}\" version={}", why, version_.value_or(-1));
   listener_.watch_lost();
   if (heard_anything_ && now() > opened_at_ + kLasts) failures_ = 0;
-  due_.set(due_key_, now() + by_failures(kReopenAfter, failures_++), [this](double) { open(); });
+  due_.schedule(due_key_, now() + by_failures(kReopenAfter, failures_++), [this](double) { open(); });
 }
 
 }  // namespace yoketurn
--- a/src/emulator/town.hpp
+++ b/src/emulator/town.hpp
@@ -101,8 +101,8 @@
 
   // Routers.
   FlightRef send(Process& from, long long request, const Send& send, int leaf, int call);
-  void answered(Process& from, long long request, int status, double retry_after, const Why& why, bool whole,
-                const std::vector<int>& shards);
+  void answered(Process& from, long long request, int status, double retry_after, const Explanation& why,
+                bool whole, const std::vector<int>& shards);
   void believes(Process& process, const SiteNews& news);
   void end(int router, const char* how);
   void start(int router);
@@ -114,8 +114,8 @@
   void note_part(days::Kind kind, const Flight& flight, std::string_view text);
 
   // Discovery.
-  std::vector<Host> hosts(int router, bool known_last) const;
-  Host host(int node, const Entry& entry) const;
+  std::vector<DiscoveredNode> hosts(int router, bool known_last) const;
+  DiscoveredNode host(int node, const Entry& entry) const;
   void changed(int node);
   void tell_all(int router);
 
@@ -127,7 +127,7 @@
 
   void begin(std::size_t fault);
   void finish(std::size_t fault);
-  std::unique_ptr<Decisions> decide(std::uint64_t seed);  // nullptr: the module
+  std::unique_ptr<RoutingPolicy> decide(std::uint64_t seed);  // nullptr: the module
 
   days::Day day_;
   Options options_;
--- a/src/estimates/judgements.hpp
+++ b/src/estimates/judgements.hpp
@@ -7,20 +7,21 @@
 
 namespace yoketurn::policy {
 
-struct Judgements {
-  bool on = false;
-  std::vector<Judged> all;
-  long long left_out = 0;  // for want of room
+struct DecisionTrace {
+  bool enabled = false;
+  std::vector<DecisionTraceEntry> entries;
+  long long dropped = 0;  // for want of room
 
-  void note(int leaf, int node, Why why) {
-    if (!on) return;
-    all.size() < kMostJudged ? all.push_back({leaf, node, kNone, why}) : void(++left_out);
+  void add(int leaf, int node, Explanation why) {
+    if (!enabled) return;
+    entries.size() < kMaxTraceEntries ? entries.push_back({leaf, node, kNone, why}) : void(++dropped);
   }
   // All from there on were passed over for this node, at this score.
-  void settle(std::size_t from, int chosen, double best) {
-    for (auto i = from; i < all.size(); ++i) {
-      all[i].taken = chosen;
-      if (all[i].why.reason == Reason::dearer) all[i].why.b = static_cast<float>(best);
+  void set_chosen(std::size_t from, int chosen, double best) {
+    for (auto i = from; i < entries.size(); ++i) {
+      entries[i].chosen_node = chosen;
+      if (entries[i].explanation.reason == Reason::worse_score)
+        entries[i].explanation.b = static_cast<float>(best);
     }
   }
 };
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -20,13 +20,14 @@
   double over_share;
   bool utility_by_work;
   double strain_from;  // foretold part latency to the time of a step from which queries are refused
-  Smoothed mean_density{kAverageWeight};  // utility for a unit of work, over all queries
+  SmoothedMean mean_density{kAverageWeight};  // utility for a unit of work, over all queries
 
   static void date(Query& q, VerticalState& v, double standstill, double now);
   static double prospect(const Query& q, Verticals& verticals, double now);
   // Whether enough of its parts have a replica that is not shunned. The others would do work for nothing.
   static bool within_reach(const Query& q, const Verticals& verticals, Nodes& nodes, double now);
   // Refusal by chance under strain: the less utility for its work, the likelier. Reason::none: it is taken.
-  Why refuse(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance, double now);
+  Explanation refuse(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance,
+                     double now);
 };
 }  // namespace yoketurn::policy
--- a/src/queries/due.hpp
+++ b/src/queries/due.hpp
@@ -10,35 +10,35 @@
 
 namespace yoketurn {
 
-class DueTimes {
+class TimerQueue {
  public:
   using Key = long long;  // one due time a key; those of the same time come in the order of their keys
-  using Work = std::function<void(double now)>;
+  using Callback = std::function<void(double now)>;
 
-  Key fresh_key() { return --last_key_; }  // below 0; whoever numbers things by itself does so from 0
+  Key new_key() { return --last_key_; }  // below 0; whoever numbers things by itself does so from 0
 
-  void set(Key key, double at, Work work) {
-    drop(key);
+  void schedule(Key key, double at, Callback work) {
+    cancel(key);
     times_.emplace(key, at);
     order_.emplace(std::pair{at, key}, std::move(work));
     if (on_earlier_ && order_.begin()->first.second == key) on_earlier_();
   }
   // Calls `again` of an object once at that time, if the object is still there.
   template <class Object>
-  void set_once(double at, std::weak_ptr<Object> object, void (Object::*again)()) {
-    set(fresh_key(), at, [object = std::move(object), again](double) {
+  void schedule_once(double at, std::weak_ptr<Object> object, void (Object::*again)()) {
+    schedule(new_key(), at, [object = std::move(object), again](double) {
       if (const auto held = object.lock()) (held.get()->*again)();
     });
   }
   // Called whenever a time is set that comes before all others: whoever waits for them must wait less long.
-  void on_earlier(std::function<void()> called) { on_earlier_ = std::move(called); }
-  void drop(Key key) {
+  void on_earlier_timer(std::function<void()> called) { on_earlier_ = std::move(called); }
+  void cancel(Key key) {
     const auto at = times_.find(key);
     if (at == times_.end()) return;
     order_.erase({at->second, key});
     times_.erase(at);
   }
-  void run(double now) {
+  void run_due(double now) {
     while (!order_.empty() && order_.begin()->first.first <= now) {
       const auto first = order_.begin();
       const auto work = std::move(first->second);
@@ -47,7 +47,7 @@
       work(now);
     }
   }
-  double next() const {
+  double next_due() const {
     return order_.empty() ? std::numeric_limits<double>::infinity() : order_.begin()->first.first;
   }
   std::size_t size() const { return order_.size(); }
@@ -55,7 +55,7 @@
  private:
   Key last_key_ = 0;
   std::unordered_map<Key, double> times_;
-  std::map<std::pair<double, Key>, Work> order_;
+  std::map<std::pair<double, Key>, Callback> order_;
   std::function<void()> on_earlier_;
 };
 
--- a/src/router/config.cpp
+++ b/src/router/config.cpp
@@ -45,7 +45,7 @@
   config.raw_settings = pairs(object_field(object, "settings"));
   check_shape(config.raw_settings);
   config.settings = settings(config.raw_settings);
-  config.ignores_peer_messages = std::exchange(config.settings.may_tell, false);
+  config.ignores_peer_messages = std::exchange(config.settings.may_send_peer_reports, false);
   config.connection_limits = bounds(config.raw_settings);
   std::string hashed = fmt::format("{}/{}", config.max_sockets, config.memory_bytes);
   for (const auto& [path, value] : config.raw_settings)
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -48,7 +48,7 @@
 DepartureLimits departure_limits(const Operators& operators, const Settings& settings) {
   const auto& d = operators.departures;
   return {d.slow,    d.stall,  d.least, d.fails, d.flaps,
-          d.reports, d.alarms, d.fleet, d.most,  settings.cold_time};
+          d.reports, d.alarms, d.fleet, d.most,  settings.slow_start_time};
 }
 
 // The figures of a data node's load report.
@@ -100,7 +100,7 @@
 }
 
 Act act_for(Reason reason) {
-  return reason == Reason::first ? Act::first : reason == Reason::copy ? Act::copy : Act::resent;
+  return reason == Reason::first_call ? Act::first : reason == Reason::copy ? Act::copy : Act::resent;
 }
 
 const char* name(Router::Phase phase) {
@@ -116,10 +116,10 @@
       config_(config),
       query_schema_(make_query_schema(config)),
       zones_(index(config.zones)),
-      unix_at_zero_(unix_at_zero()),
+      unix_at_zero_(unix_time_at_zero()),
       shutdown_(config.connection_limits.longest_wait),
       standstill_(kMinStandstillSeconds),
-      node_ages_(config.settings.cold_time),
+      node_ages_(config.settings.slow_start_time),
       version_reporter_({config.name, own_site(config), config.verticals}, config.seed, now(), unix_at_zero_,
                         log,
                         {[this] { watch_.ask_again(); }, [this] { reload(); },
@@ -139,7 +139,7 @@
 
 // Closing connections may set timers, while timer_ is destroyed before them: it must not be armed any more.
 Router::~Router() {
-  timers_.on_earlier(nullptr);
+  timers_.on_earlier_timer(nullptr);
 }
 
 void Router::start() {
@@ -167,7 +167,7 @@
   next_counters_log_at_ = next_tick_at_ + kCountersLogSeconds;
   // Without this, a timer set while input is read would be noticed at the next turn only, and a lost watch be
   // reopened a tick later.
-  timers_.on_earlier([this] {
+  timers_.on_earlier_timer([this] {
     if (!in_turn_) arm_timer();
   });
   tick();
@@ -280,7 +280,7 @@
                            evacuated_until_.to_monotonic(WallTime{sites.until}, WallTime::now(), applied_at),
                            next_tick_at_ <= 0}));
   if (!operators.timeline.on) {
-    queries_.witness(nullptr);
+    queries_.set_observer(nullptr);
     recorder_.reset();
     segments_.reset();
     return;
@@ -290,8 +290,8 @@
                                   operators.timeline.lines};
     recorder_ = std::make_unique<Recorder>(
         budget, departure_limits(operators, config_.settings), operators.departures.on,
-        static_cast<int>(config_.verticals.size()), applied_at, unix_at_zero());
-    queries_.witness(recorder_.get());
+        static_cast<int>(config_.verticals.size()), applied_at, unix_time_at_zero());
+    queries_.set_observer(recorder_.get());
     next_version_events_at_ = 0;
   }
   if (same_segments) return;
@@ -300,7 +300,7 @@
   if (!operators.segments.folder.empty()) {
     const auto& s = operators.segments;
     segments_ = std::make_unique<Segments>(SegmentLimits{s.folder, s.size, s.total, s.age, s.queue},
-                                           config_.name, unix_at_zero());
+                                           config_.name, unix_time_at_zero());
     recorder_->timeline().also = [this](const Event& event) { segments_->event(event); };
     recorder_->timeline().also_line = [this](const Timeline::Line& line) { segments_->line(line); };
     for (const auto& line : recorder_->timeline().lines()) segments_->line(line);
@@ -357,15 +357,15 @@
                       0, at);
     before = total;
   };
-  record_increase(Bound::judged, queries_.unjudged(), last_unjudged_);
+  record_increase(Bound::judged, queries_.dropped_trace_entries(), last_unjudged_);
   record_increase(Bound::log, log_.lost(), last_lost_lines_);
-  for (const auto& [id, node] : node_numbers_) recorder_->believed(node, queries_.belief(node, at), at);
+  for (const auto& [id, node] : node_numbers_) recorder_->believed(node, queries_.node_health(node, at), at);
   if (segments_ && segments_->failures() > last_segment_failures_) {
     last_segment_failures_ = segments_->failures();
     log_.line("segment_failed", "why=\"{}\" folder=\"{}\"", segments_->trouble(),
               config_.operator_settings.segments.folder);
   }
-  for (const auto& change : recorder_->tick(at, unix_at_zero())) {
+  for (const auto& change : recorder_->tick(at, unix_time_at_zero())) {
     const auto vertical =
         change.vertical == kNone ? "-" : config_.verticals[static_cast<std::size_t>(change.vertical)].c_str();
     log_.line(change.returned ? "returned" : "departed",
@@ -424,7 +424,7 @@
                          version_reporter_.versions().number(), at);
 }
 
-void Router::ended(int vertical, const Call& call) {
+void Router::on_call_ended(int vertical, const Call& call) {
   auto& versions = version_reporter_.versions();
   if (call.outcome == Outcome::unsent || call.outcome == Outcome::unreachable)
     versions.unsent(vertical, call.node);
@@ -473,7 +473,7 @@
   const auto read_first = must_read_first(at);
   if (!read_first) {
     record_loop_events(at);
-    next_tick_at_ = at + queries_.period();
+    next_tick_at_ = at + queries_.tick_interval();
     queries_.tick(at);  // the result, a request for the list, is not needed: the watch delivers it
     update_sites();
     update_version_reporter(at);
@@ -513,12 +513,12 @@
     --pending_calls_;
     if (result.outcome == Outcome::success)
       store_value(query_state->second, result.ref.leaf, std::move(result.value));
-    queries_.outcome(result.ref.query, result.ref.leaf, result.ref.call, result.outcome, result.score, at);
+    queries_.on_outcome(result.ref.query, result.ref.leaf, result.ref.call, result.outcome, result.score, at);
   }
-  queries_.finish(at);
+  queries_.process_changes(at);
   if (!merged_first_steps_.empty()) {
     for (const auto query : std::exchange(merged_first_steps_, {})) start_second_step(query, at);
-    queries_.finish(at);
+    queries_.process_changes(at);
   }
   pool_.flush();
   advance_shutdown(at);
@@ -529,7 +529,7 @@
 }
 
 void Router::arm_timer() {
-  set_timer(timers_.next());
+  set_timer(timers_.next_due());
 }
 
 void Router::set_timer(double next) {
@@ -582,14 +582,14 @@
   ++counters_.accepted;
   Query query;
   query.vertical = request.vertical;
-  query.expires = at + request.remaining;
+  query.deadline = at + request.remaining;
   // A query that arrives this late must be answered before SIGKILL.
-  if (phase_ == Phase::draining) query.expires = std::min(query.expires, shutdown_.answer_deadline());
+  if (phase_ == Phase::draining) query.deadline = std::min(query.deadline, shutdown_.answer_deadline());
   query.client_retry = request.client_retry;
   const auto no_room = open_count_ >= config_.connection_limits.max_open;
   if (no_room || version_reporter_.rejects_new_query(at))
-    query.barred = no_room ? Reason::no_room : Reason::shut_out;
-  for (const auto& target : request.targets) query.work += target.work;
+    query.forced_rejection = no_room ? Reason::too_many_pending : Reason::router_refusing;
+  for (const auto& target : request.targets) query.work_hint += target.work;
   auto& query_state = pending_queries_[number];
   query_state.connection = connection;
   query_state.vertical = request.vertical;
@@ -606,9 +606,9 @@
       recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::queries), open_count_,
                       config_.connection_limits.max_open, at);
   }
-  queries_.take(number, std::move(query), at);
+  queries_.add_query(number, std::move(query), at);
   for (const auto& target : request.targets) {
-    queries_.take_part(number, {target.shard, target.share, target.work, 1, false, {}}, at);
+    queries_.add_part(number, {target.shard, target.share, target.work, 1, false, {}}, at);
     query_state.parts.push_back({request.id + "." + std::to_string(target.shard), target.shard, false, {}});
     ++open_count_;
   }
@@ -620,7 +620,7 @@
   if (at == query_by_connection_.end()) return;
   ++counters_.disconnected;
   const auto query = at->second;
-  queries_.gone(query);
+  queries_.abandon(query);
   release_query(query);
   schedule_turn();
 }
@@ -649,15 +649,15 @@
   auto& query_state = pending_queries_.at(query);
   ++query_state.call_count;
   ++pending_calls_;
-  version_reporter_.versions().sent(query_state.vertical, act_for(send.why.reason), send.node, now());
+  version_reporter_.versions().sent(query_state.vertical, act_for(send.explanation.reason), send.node, now());
   const auto leaf = static_cast<std::size_t>(send.leaf);
   const auto& part = query_state.parts[leaf];
   std::string options;
   if (!query_state.key.empty()) options += ",k=" + query_state.key;
   if (send.leaf >= query_state.second_step_begin) options += query_state.second_step_options;
-  pool_.send(send.node, send.group,
+  pool_.send(send.node, send.batch,
              {{query, send.leaf, call}, part.id, part.shard, std::move(options), query_state.text},
-             send.timeout, send.by);
+             send.timeout, send.max_send_delay);
 }
 
 void Router::cancel(long long query, const Cancel& cancel) {
@@ -682,21 +682,21 @@
   send_answer(query, 200, response_body(whole, results));
 }
 
-void Router::reject(long long query, double stay_away, const Why& why) {
+void Router::reject(long long query, double stay_away, const Explanation& why) {
   ++counters_.rejected;
   version_reporter_.versions().answered(pending_queries_.at(query).vertical, Act::rejected);
   log_outcome("rejected", query, why);
   send_answer(query, 503, "rejected", stay_away);
 }
 
-void Router::abort(long long query, const Why& why) {
+void Router::abort(long long query, const Explanation& why) {
   ++counters_.aborted;
   version_reporter_.versions().answered(pending_queries_.at(query).vertical, Act::aborted);
   log_outcome("aborted", query, why);
   send_answer(query, 500, "aborted");
 }
 
-void Router::log_outcome(std::string_view end, long long query, const Why& why) {
+void Router::log_outcome(std::string_view end, long long query, const Explanation& why) {
   const auto& query_state = pending_queries_.at(query);
   const auto answered = std::count_if(query_state.parts.begin(), query_state.parts.end(),
                                       [](const Part& part) { return part.answered; });
@@ -708,14 +708,14 @@
       open_count_, why_name(What::ended, static_cast<std::uint8_t>(why.reason)), why.a, why.b, why.c);
 }
 
-void Router::forget(long long query) {
+void Router::release(long long query) {
   pending_queries_.erase(query);
 }
 
 void Router::start_second_step(long long query, double at) {
   if (!queries_.awaits_parts(query)) return;
   auto& query_state = pending_queries_.at(query);
-  const auto chosen = queries_.second_step(query);
+  const auto chosen = queries_.second_step_leaves(query);
   std::string from;
   for (const auto& part : query_state.parts)
     if (part.answered) from += fmt::format("{}{}", from.empty() ? "" : "+", part.shard);
@@ -726,7 +726,7 @@
   for (const auto leaf : chosen) {
     const auto shard = query_state.parts[static_cast<std::size_t>(leaf)].shard;
     const auto weight = 1.0 / static_cast<double>(chosen.size());
-    queries_.take_part(query, {shard, weight, 0, 2, false, {}}, at);
+    queries_.add_part(query, {shard, weight, 0, 2, false, {}}, at);
     query_state.parts.push_back({fmt::format("{}.{}.p2", query_state.id, shard), shard, false, {}});
     ++open_count_;
   }
@@ -753,7 +753,7 @@
 void Router::listed(const MemberList& list) {
   members_.apply(list);
   version_reporter_.set_list(members_.list(), list.full, endpoint_text(current_discovery_), now());
-  std::vector<Host> hosts;
+  std::vector<DiscoveredNode> hosts;
   std::set<int> present;
   std::size_t ready = 0;
   for (const auto& member : list.members) {
@@ -790,7 +790,7 @@
         pool_.leave(node);
         if (recorder_) recorder_->left(node, list.version, now());
       }
-  queries_.list(hosts, list.full, now());
+  queries_.update_nodes(hosts, list.full, now());
   log_.line("list", "version={} full={} entries={} ready={}", list.version, list.full, list.members.size(),
             ready);
   if (phase_ == Phase::starting && ready > 0) enter_phase(Phase::serving);
@@ -820,7 +820,7 @@
   if (!call_results_.empty()) return;  // the queries still refer to these nodes by number
   std::erase_if(removed_nodes_, [this](const auto& removed) {
     if (pool_.holds(removed.second)) return false;
-    queries_.forget_node(removed.second);
+    queries_.remove_node(removed.second);
     if (recorder_) recorder_->forgotten(removed.second, now());
     free_node_numbers_.push_back(removed.second);
     node_ages_.left(removed.first);
@@ -831,7 +831,7 @@
 
 void Router::watch_lost() {
   version_reporter_.versions().watch_lost(now());
-  queries_.list_failed(now());
+  queries_.on_node_list_failed(now());
 }
 
 void Router::watch_heard() {
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -31,7 +31,7 @@
 
 namespace yoketurn {
 
-class Router : private Actions,
+class Router : private QueryActions,
                private Pool::Listener,
                private ClientListener::RequestHandler,
                private Watch::Listener {
@@ -93,10 +93,10 @@
   void send(long long query, const Send& send, int call) override;
   void cancel(long long query, const Cancel& cancel) override;
   void merge(long long query, bool whole) override;
-  void reject(long long query, double stay_away, const Why& why) override;
-  void abort(long long query, const Why& why) override;
-  void forget(long long query) override;
-  void ended(int vertical, const Call& call) override;
+  void reject(long long query, double stay_away, const Explanation& why) override;
+  void abort(long long query, const Explanation& why) override;
+  void release(long long query) override;
+  void on_call_ended(int vertical, const Call& call) override;
 
   void call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) override;
   void connected(int node, double took) override;
@@ -141,7 +141,7 @@
   void enter_phase(Phase phase);
   void advance_shutdown(double at);
   void log_counters(double at);
-  void log_outcome(std::string_view end, long long query, const Why& why);
+  void log_outcome(std::string_view end, long long query, const Explanation& why);
 
   boost::asio::io_context& context_;
   Log& log_;
@@ -186,7 +186,7 @@
   int last_segment_failures_ = 0;
 
   // Destroyed first: their destructors report to the members above.
-  DueTimes timers_;
+  TimerQueue timers_;
   Queries queries_;
   Pool pool_;
   ClientListener clients_;
--- a/src/sites/sites.cpp
+++ b/src/sites/sites.cpp
@@ -44,16 +44,17 @@
 
 double return_time(const Settings& s, bool cold) {
   const auto steps = std::ceil(std::log2(1 / kFirstShare)) * kStep;
-  if (!cold || s.cold_time <= 0 || s.start_capacity >= 1) return steps;
-  const auto needed = 1 / std::max(kMargin * s.fall_multiple, 1e-9);
-  return std::max(steps, s.cold_time * (std::min(needed, 1.0) - s.start_capacity) / (1 - s.start_capacity));
+  if (!cold || s.slow_start_time <= 0 || s.start_capacity >= 1) return steps;
+  const auto needed = 1 / std::max(kMargin * s.overload_multiple, 1e-9);
+  return std::max(steps,
+                  s.slow_start_time * (std::min(needed, 1.0) - s.start_capacity) / (1 - s.start_capacity));
 }
 
 Sites::Sites(const Settings& s, std::uint64_t seed)
     : own_(s.zone),
       start_(s.start_capacity),
-      cold_time_(s.cold_time),
-      fall_(s.fall_multiple),
+      cold_time_(s.slow_start_time),
+      fall_(s.overload_multiple),
       chance_(static_cast<std::uint_fast32_t>(seed * 31 + 7)) {}
 
 void Sites::on(bool on) {
@@ -69,7 +70,7 @@
   changed_ = true;
 }
 
-void Sites::list(std::span<const Host> hosts, bool complete, double now) {
+void Sites::list(std::span<const DiscoveredNode> hosts, bool complete, double now) {
   if (complete)
     for (auto& node : nodes_) node.up = false;
   for (const auto& host : hosts) {
@@ -78,10 +79,10 @@
       nodes_.resize(static_cast<std::size_t>(host.node) + 1);
     auto& node = nodes_[static_cast<std::size_t>(host.node)];
     // A new process: what was said of the old one is no say of it.
-    if (host.born != node.born) node = {};
+    if (host.started_at != node.born) node = {};
     node.site = host.zone;
     node.up = host.up;
-    node.born = host.born;
+    node.born = host.started_at;
     if (host.zone >= 0 && static_cast<std::size_t>(host.zone) >= sites_.size())
       sites_.resize(static_cast<std::size_t>(host.zone) + 1);
   }
@@ -92,7 +93,7 @@
       const auto site = host.zone;
       if (site == kNone || !host.up) continue;
       const auto lost = at(site).belief == SiteBelief::lost || at(site).belief == SiteBelief::cut_off;
-      if (lost && host.born > at(site).lost_at) enter(site, SiteBelief::returning, now);
+      if (lost && host.started_at > at(site).lost_at) enter(site, SiteBelief::returning, now);
     }
   for (auto& site : sites_) site.nodes = 0;
   for (const auto& node : nodes_)
@@ -132,12 +133,12 @@
     case Outcome::success:
     case Outcome::failure:
     case Outcome::overloaded:
-    case Outcome::spoilt:
+    case Outcome::malformed:
       node->silent = 0;
       if (node->out > 0) node->waits_from = now;  // it lives: what is still out waits from now
       return say(*node, false, false, sent, outcome == Outcome::success ? age : 0, now);
     case Outcome::unreachable:
-    case Outcome::broken:
+    case Outcome::disconnected:
       return say(*node, true, true, sent, 0, now);
     case Outcome::timed_out:
     case Outcome::cancelled:
--- a/src/timeline/server.cpp
+++ b/src/timeline/server.cpp
@@ -60,7 +60,7 @@
 class TimelineServer::Reader : public std::enable_shared_from_this<Reader> {
  public:
   Reader(asio::ip::tcp::socket socket, TimelineServer& owner)
-      : socket_(std::move(socket)), owner_(&owner), due_(owner.due_), due_key_(due_.fresh_key()) {
+      : socket_(std::move(socket)), owner_(&owner), due_(owner.due_), due_key_(due_.new_key()) {
     parser_.header_limit(kHead);
     parser_.body_limit(0);
     parser_.eager(true);
@@ -70,7 +70,7 @@
     read();
   }
   void close() {
-    due_.drop(due_key_);
+    due_.cancel(due_key_);
     boost::system::error_code ignored;
     socket_.close(ignored);
     if (auto* owner = std::exchange(owner_, nullptr)) owner->done(shared_from_this());
@@ -83,7 +83,7 @@
  private:
   enum class Part { none, nodes, events, tens, seconds, versions };
   void patience() {
-    due_.set(due_key_, now() + kPatience, [weak = weak_from_this()](double) {
+    due_.schedule(due_key_, now() + kPatience, [weak = weak_from_this()](double) {
       if (const auto self = weak.lock()) self->close();
     });
   }
@@ -232,8 +232,8 @@
 
   asio::ip::tcp::socket socket_;
   TimelineServer* owner_;
-  DueTimes& due_;
-  DueTimes::Key due_key_;
+  TimerQueue& due_;
+  TimerQueue::Key due_key_;
   std::array<char, kHead> in_{};
   std::size_t held_ = 0;
   http::request_parser<http::string_body> parser_;
@@ -244,7 +244,7 @@
   std::string wanted_, piece_;
 };
 
-TimelineServer::TimelineServer(asio::io_context& context, DueTimes& due, const asio::ip::tcp::endpoint& at,
+TimelineServer::TimelineServer(asio::io_context& context, TimerQueue& due, const asio::ip::tcp::endpoint& at,
                                int readers, Source source, VersionsSource versions)
     : context_(context),
       acceptor_(context),
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -22,7 +22,7 @@
   double born = 0;
 };
 
-class Instance : private Actions {
+class Instance : private QueryActions {
  public:
   Instance(std::string name, std::uint64_t seed, const Pairs& setup, double now);
 
@@ -48,13 +48,13 @@
   void send(long long query, const Send& send, int call) override;
   void cancel(long long query, const Cancel& cancel) override;
   void merge(long long query, bool whole) override;
-  void reject(long long query, double stay_away, const Why& why) override;
-  void abort(long long query, const Why& why) override;
-  void forget(long long query) override;
-  void tell(const std::vector<Word>& words) override;
+  void reject(long long query, double stay_away, const Explanation& why) override;
+  void abort(long long query, const Explanation& why) override;
+  void release(long long query) override;
+  void send_peer_reports(const std::vector<PeerReport>& words) override;
 
   std::string name_;
-  DueTimes due_;
+  TimerQueue due_;
   Queries queries_;
   Names verticals_, customers_, zones_;
   std::unordered_map<long long, int> nodes_;
--- a/tests/brain_test.cpp
+++ b/tests/brain_test.cpp
@@ -36,7 +36,7 @@
     const auto won = rig.settle(q, 0, Outcome::success, 1);
     REQUIRE(won.cancels.size() == 1);
     CHECK(won.cancels[0].call == 0);
-    CHECK(rig.route(q).end == End::merge_whole);
+    CHECK(rig.route(q).query_end == QueryEnd::merge_complete);
   }
 }
 
@@ -224,7 +224,7 @@
 TEST_CASE("a slow way is told from slow nodes and remembered while it is avoided") {
   for (const double late : {0.0, 0.9}) {
     auto s = settings();
-    for (auto& vertical : s.verticals) vertical.slo = 5;
+    for (auto& vertical : s.verticals) vertical.slo_time = 5;
     Rig rig(s, 120);
     const auto zone_of = [&](int node) { return node / 3 % 2; };
     Query queries[2];
@@ -233,12 +233,12 @@
         host.zone = zone_of(host.node);
         host.up = host.zone == zone;
       }
-      rig.brain.list(rig.hosts, true);
+      rig.brain.update_nodes(rig.hosts, true);
       queries[zone] = rig.query(2, 12, 10);
       REQUIRE(rig.route(queries[zone]).sends.size() == 12);
     }
     for (auto& host : rig.hosts) host.up = zone_of(host.node) == 1 || host.node < 30;
-    rig.brain.list(rig.hosts, true);  // near nodes are few now
+    rig.brain.update_nodes(rig.hosts, true);  // near nodes are few now
     for (const int zone : {0, 1}) {
       rig.pass(zone == 1 ? late : 0.1);
       for (int i = 0; i < 12; ++i) rig.settle(queries[zone], i, Outcome::success);
@@ -267,7 +267,7 @@
   int refused = 0;
   for (int i = 0; i < 20; ++i) {
     auto q = rig.query(1, 1);
-    refused += rig.route(q).end == End::reject;
+    refused += rig.route(q).query_end == QueryEnd::reject;
   }
   CHECK(refused == 0);
 }
@@ -296,25 +296,25 @@
 
 TEST_CASE("a fleet of hundreds and a list of hundreds of changes") {
   auto s = settings();
-  s.cells = 600;
-  s.routers = 900;
+  s.cell_count = 600;
+  s.router_count = 900;
   Rig rig(s, 600);
   for (int round = 0; round < 20; ++round) {
     auto q = rig.query(0, 300);
     CHECK(rig.route(q).sends.size() == 300);
     rig.pass(0.1);
     for (int i = 0; i < 300; ++i) rig.settle(q, i, Outcome::success);
-    CHECK(rig.route(q).end == End::merge_whole);
+    CHECK(rig.route(q).query_end == QueryEnd::merge_complete);
     for (auto& host : rig.hosts) host.up = (host.node + round) % 3 != 0;
-    rig.brain.list(rig.hosts, false);
+    rig.brain.update_nodes(rig.hosts, false);
   }
 }
 
 TEST_CASE("what ends with one connection is one bad outcome of its node") {
-  for (const auto outcome : {Outcome::spoilt, Outcome::broken, Outcome::failure}) {
+  for (const auto outcome : {Outcome::malformed, Outcome::disconnected, Outcome::failure}) {
     Rig rig;
     rig.hosts[1].up = rig.hosts[2].up = false;
-    rig.brain.list(rig.hosts, true);
+    rig.brain.update_nodes(rig.hosts, true);
     rig.serve(30, 0.1);
     auto q = rig.query(0, 4);
     rig.route(q);
@@ -335,7 +335,7 @@
       for (const auto& send : rig.route(q).sends)
         if (send.node == 0) {
           ++sent;
-          if (spoilt) rig.settle(q, send.leaf, Outcome::spoilt);
+          if (spoilt) rig.settle(q, send.leaf, Outcome::malformed);
         }
       rig.pass(0.1);
       for (std::size_t j = 0; j < q.leaves.size(); ++j)
@@ -375,7 +375,7 @@
     rig.route(q);
     double due = 0;
     while (!q.ended && due < 10) {
-      const auto wait = rig.brain.wait(q, rig.now);
+      const auto wait = rig.brain.time_to_next_check(q, rig.now);
       due += wait;
       rig.now += wait;
       rig.route(q);
@@ -392,15 +392,20 @@
     Outcome outcome;
     double after;
     bool resent;
-    End end;
+    QueryEnd end;
   };
   const Row rows[] = {
-      {0, Outcome::failure, 0.1, true, End::reject},    {1, Outcome::failure, 0.1, true, End::abort},
-      {1, Outcome::failure, 1.99, false, End::abort},   {1, Outcome::overloaded, 1.99, true, End::reject},
-      {2, Outcome::failure, 0.1, false, End::abort},    {2, Outcome::broken, 0.1, false, End::abort},
-      {2, Outcome::timed_out, 0.1, false, End::abort},  {2, Outcome::cancelled, 0.1, false, End::abort},
-      {2, Outcome::overloaded, 0.1, true, End::reject}, {2, Outcome::unreachable, 0.1, true, End::reject},
-      {2, Outcome::unsent, 0.1, true, End::reject},
+      {0, Outcome::failure, 0.1, true, QueryEnd::reject},
+      {1, Outcome::failure, 0.1, true, QueryEnd::abort},
+      {1, Outcome::failure, 1.99, false, QueryEnd::abort},
+      {1, Outcome::overloaded, 1.99, true, QueryEnd::reject},
+      {2, Outcome::failure, 0.1, false, QueryEnd::abort},
+      {2, Outcome::disconnected, 0.1, false, QueryEnd::abort},
+      {2, Outcome::timed_out, 0.1, false, QueryEnd::abort},
+      {2, Outcome::cancelled, 0.1, false, QueryEnd::abort},
+      {2, Outcome::overloaded, 0.1, true, QueryEnd::reject},
+      {2, Outcome::unreachable, 0.1, true, QueryEnd::reject},
+      {2, Outcome::unsent, 0.1, true, QueryEnd::reject},
   };
   for (const auto& row : rows) {
     CAPTURE(row.vertical);
@@ -416,9 +421,9 @@
       rig.settle(q, 0, row.outcome);
       rig.route(q);
     }
-    if (!q.ended) rig.now = q.expires;
-    const auto end = q.ended ? answer.end : rig.route(q).end;
-    if (end != End::none) CHECK(end == row.end);
+    if (!q.ended) rig.now = q.deadline;
+    const auto end = q.ended ? answer.query_end : rig.route(q).query_end;
+    if (end != QueryEnd::none) CHECK(end == row.end);
   }
 }
 
@@ -432,17 +437,17 @@
     auto q = rig.query(vertical, 1);
     const auto first = rig.route(q);
     REQUIRE(first.sends.size() == 1);
-    CHECK(first.sends[0].by == std::numeric_limits<double>::infinity());
+    CHECK(first.sends[0].max_send_delay == std::numeric_limits<double>::infinity());
     rig.now += 0.5;
     rig.settle(q, 0, outcome);
     const auto again = rig.route(q);
     REQUIRE(again.sends.size() == 1);
     if (bounded) {
       // Of 2 s; a router may be held up after it has looked at its clock.
-      CHECK(again.sends[0].by < 1.5 - kLongestHoldUp);
-      CHECK(again.sends[0].by > 1.4 - kLongestHoldUp);
+      CHECK(again.sends[0].max_send_delay < 1.5 - kMaxSendStallSeconds);
+      CHECK(again.sends[0].max_send_delay > 1.4 - kMaxSendStallSeconds);
     } else {
-      CHECK(again.sends[0].by == std::numeric_limits<double>::infinity());
+      CHECK(again.sends[0].max_send_delay == std::numeric_limits<double>::infinity());
     }
   }
 }
@@ -464,7 +469,7 @@
     "calls that never left this router spend neither the attempts of a part nor the budget of further ones") {
   auto s = settings();
   s.max_calls = 2;
-  s.extra_span = 2;  // a budget of no further call at all
+  s.retry_budget_window = 2;  // a budget of no further call at all
   Rig rig(s, 3);
   auto q = rig.query(0, 1);
   for (int unsent = 0; unsent < 3; ++unsent) {
@@ -485,21 +490,21 @@
   for (int i = 0; i < 3; ++i) {
     auto q = rig.query(0, 1);
     for (const int other : {1, 2}) rig.hosts[static_cast<std::size_t>(other)].up = false;
-    rig.brain.list(rig.hosts, true);
+    rig.brain.update_nodes(rig.hosts, true);
     rig.route(q);
     rig.settle(q, 0, Outcome::failure);
   }
   rig.hosts[0].up = false;
   rig.hosts[1].up = rig.hosts[2].up = true;
-  rig.brain.list(rig.hosts, true);
-  rig.brain.forget(0);
-  const Host nowhere{900, 0, 77, true, 0};  // a cell that is not there
-  rig.brain.list({&nowhere, 1}, false);
-  rig.brain.forget(nowhere.node);
+  rig.brain.update_nodes(rig.hosts, true);
+  rig.brain.remove_node(0);
+  const DiscoveredNode nowhere{900, 0, 77, true, 0};  // a cell that is not there
+  rig.brain.update_nodes({&nowhere, 1}, false);
+  rig.brain.remove_node(nowhere.node);
   rig.pass(0.1);
   CHECK(rig.serve(6, 0.1)[0] == 0);
   rig.hosts[0].up = true;
-  rig.brain.list(rig.hosts, true);
+  rig.brain.update_nodes(rig.hosts, true);
   auto q = rig.query(0, 6);
   const auto sends = rig.route(q).sends;
   CHECK(std::any_of(sends.begin(), sends.end(), [](const Send& send) { return send.node == 0; }));
@@ -508,9 +513,9 @@
 TEST_CASE("rule 3: a draining or missing node gets nothing") {
   for (const bool complete : {false, true}) {
     Rig rig;
-    std::vector<Host> news{{0, 0, 0, false, 0}};
+    std::vector<DiscoveredNode> news{{0, 0, 0, false, 0}};
     if (complete) news = {rig.hosts[1], rig.hosts[2]};
-    rig.brain.list(news, complete);
+    rig.brain.update_nodes(news, complete);
     CHECK(rig.serve(30, 0.05)[0] == 0);
   }
 }
@@ -518,8 +523,8 @@
 TEST_CASE("rule 4: a cold node gets this router's share of what it can bear") {
   Rig rig;
   rig.serve(100, 0.05);  // 20 a second, 6.7 a node
-  rig.hosts[0].born = rig.now;
-  rig.brain.list(rig.hosts, true);
+  rig.hosts[0].started_at = rig.now;
+  rig.brain.update_nodes(rig.hosts, true);
   CHECK(rig.serve(20, 0.05)[0] <= 3);
   rig.now += 11;
   CHECK(rig.serve(200, 0.05)[0] > 30);
@@ -528,10 +533,10 @@
 TEST_CASE("rule 4: many routers that know little space their parts to a cold node out") {
   for (const int routers : {1, 40}) {
     auto s = settings();
-    s.routers = routers;
+    s.router_count = routers;
     Rig rig(s, 1);
-    rig.hosts[0].born = rig.now;
-    rig.brain.list(rig.hosts, true);
+    rig.hosts[0].started_at = rig.now;
+    rig.brain.update_nodes(rig.hosts, true);
     int sent = 0;
     for (int i = 0; i < 9; ++i) {
       auto q = rig.query(0, 1);
@@ -548,8 +553,8 @@
   Rig rig;
   rig.serve(200, 0.05);
   rig.pass(12);  // nothing is asked: nothing is answered
-  rig.hosts[0].born = rig.now;
-  rig.brain.list(rig.hosts, true);
+  rig.hosts[0].started_at = rig.now;
+  rig.brain.update_nodes(rig.hosts, true);
   auto q = rig.query(0, 60);
   int cold = 0;
   for (const auto& send : rig.route(q).sends) cold += send.node == 0;
@@ -559,11 +564,11 @@
 
 TEST_CASE("rule 4: the neighbouring parts of a query can meet at a cold node where they are spaced out") {
   auto s = settings();
-  s.routers = 40;
-  s.cold_time = 1000;
+  s.router_count = 40;
+  s.slow_start_time = 1000;
   Rig rig(s, 1);
-  rig.hosts[0].born = rig.now;
-  rig.brain.list(rig.hosts, true);
+  rig.hosts[0].started_at = rig.now;
+  rig.brain.update_nodes(rig.hosts, true);
   auto first = rig.query(0, 1, 1e4);
   if (!rig.route(first).sends.empty()) rig.settle(first, 0, Outcome::success);
   rig.pass(200);
@@ -583,30 +588,30 @@
   }
   rig.serve(3, 0.05);
   rig.hosts.push_back({3, 0, 0, true, 0});
-  rig.brain.list(rig.hosts, true);
+  rig.brain.update_nodes(rig.hosts, true);
   CHECK(rig.serve(3, 0.05)[3] == 0);
 }
 
 TEST_CASE("what other routers have waiting at a node counts, until they tell of its end") {
   auto s = settings();
-  s.may_tell = true;
-  s.routers = 2;
+  s.may_send_peer_reports = true;
+  s.router_count = 2;
   Rig rig(s);
   CHECK(rig.serve(30, 0.05)[0] > 0);
-  CHECK(rig.brain.tell().size() == 60);  // each part sent, each call ended
-  CHECK(rig.brain.tell().empty());
-  for (int i = 0; i < 5; ++i) rig.brain.hear({0, 0}, rig.now);
+  CHECK(rig.brain.take_peer_reports().size() == 60);  // each part sent, each call ended
+  CHECK(rig.brain.take_peer_reports().empty());
+  for (int i = 0; i < 5; ++i) rig.brain.on_peer_report({0, 0}, rig.now);
   auto q = rig.query(0, 6);
   for (const auto& send : rig.route(q).sends) CHECK(send.node != 0);
   rig.pass(0.05);
   for (int i = 0; i < 6; ++i) rig.settle(q, i, Outcome::success);
-  for (int i = 0; i < 5; ++i) rig.brain.hear({0, 0.05}, rig.now);
+  for (int i = 0; i < 5; ++i) rig.brain.on_peer_report({0, 0.05}, rig.now);
   CHECK(rig.serve(30, 0.05)[0] > 0);
-  rig.brain.hear({77, 0.05}, rig.now);  // a node that is not listed
+  rig.brain.on_peer_report({77, 0.05}, rig.now);  // a node that is not listed
   // A new process has nothing waiting that the old one had.
-  for (int i = 0; i < 5000; ++i) rig.brain.hear({0, 0}, rig.now);
-  rig.hosts[0].born = rig.now - 11;
-  rig.brain.list(rig.hosts, false);
+  for (int i = 0; i < 5000; ++i) rig.brain.on_peer_report({0, 0}, rig.now);
+  rig.hosts[0].started_at = rig.now - 11;
+  rig.brain.update_nodes(rig.hosts, false);
   auto fresh = rig.query(0, 9);
   int there = 0;
   for (const auto& send : rig.route(fresh).sends) there += send.node == 0;
@@ -615,35 +620,36 @@
 
 TEST_CASE("a node that others find slow gets less, and nothing told clears a suspicion") {
   auto s = settings();
-  s.may_tell = true;
-  s.routers = 2;
+  s.may_send_peer_reports = true;
+  s.router_count = 2;
   Rig rig(s);
   rig.pass(30);
-  for (int i = 0; i < 20; ++i) rig.brain.hear({0, 0.9}, rig.now);
-  for (int i = 0; i < 20; ++i) rig.brain.hear({1, 0.05}, rig.now);
-  for (int i = 0; i < 20; ++i) rig.brain.hear({2, 0.05}, rig.now);
+  for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({0, 0.9}, rig.now);
+  for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({1, 0.05}, rig.now);
+  for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({2, 0.05}, rig.now);
   CHECK(rig.serve(12, 0.05)[0] == 0);
-  while (rig.brain.belief(1, rig.now) != Belief::suspect) {
+  while (rig.brain.node_health(1, rig.now) != NodeHealth::suspect) {
     auto q = rig.query(0, 1);
     const auto node = rig.route(q).sends[0].node;
-    rig.settle(q, 0, node == 1 ? Outcome::broken : Outcome::success);
+    rig.settle(q, 0, node == 1 ? Outcome::disconnected : Outcome::success);
     rig.pass(0.02);
   }
-  for (int i = 0; i < 20; ++i) rig.brain.hear({1, 0.01}, rig.now);
-  CHECK(rig.brain.belief(1, rig.now) == Belief::suspect);
+  for (int i = 0; i < 20; ++i) rig.brain.on_peer_report({1, 0.01}, rig.now);
+  CHECK(rig.brain.node_health(1, rig.now) == NodeHealth::suspect);
 }
 
 TEST_CASE("rule 5: merged whole only if whole, in part only from the least share") {
   struct Row {
     int in;
-    End before, after;  // the SLO time
+    QueryEnd before, after;  // the SLO time
   };
   auto s = settings();
   s.verticals[0].late_utility = 0;
-  s.verticals[0].least = 0.5;
-  s.verticals[0].partial_earns = 0.9;
-  for (const auto& row : {Row{1, End::none, End::reject}, Row{2, End::none, End::merge_part},
-                          Row{4, End::merge_whole, End::merge_whole}}) {
+  s.verticals[0].min_merge_share = 0.5;
+  s.verticals[0].partial_utility = 0.9;
+  for (const auto& row :
+       {Row{1, QueryEnd::none, QueryEnd::reject}, Row{2, QueryEnd::none, QueryEnd::merge_partial},
+        Row{4, QueryEnd::merge_complete, QueryEnd::merge_complete}}) {
     CAPTURE(row.in);
     for (const bool late : {false, true}) {
       Rig rig(s);
@@ -651,35 +657,35 @@
       rig.route(q);
       for (int i = 0; i < row.in; ++i) rig.settle(q, i, Outcome::success);
       if (late) rig.now += 0.98;
-      CHECK(rig.route(q).end == (late ? row.after : row.before));
+      CHECK(rig.route(q).query_end == (late ? row.after : row.before));
     }
   }
 }
 
 TEST_CASE("a second step is whole only after a whole first one") {
   auto s = settings();
-  s.verticals[0].second_step = 1;
+  s.verticals[0].second_step_parts = 1;
   for (const bool first_whole : {false, true}) {
     Rig rig(s);
     auto q = rig.query(0, 1);
     q.step = 2;
-    q.first_whole = first_whole;
-    q.leaves[0].in = true;
-    q.awaited = 1;
-    CHECK(rig.route(q).end == End::none);
+    q.first_step_complete = first_whole;
+    q.leaves[0].answered = true;
+    q.parts_expected = 1;
+    CHECK(rig.route(q).query_end == QueryEnd::none);
     q.leaves.push_back({0, 1, 0, 2, false, {}});
-    q.awaited = 0;
+    q.parts_expected = 0;
     CHECK(rig.route(q).sends.size() == 1);
     rig.settle(q, 1, Outcome::success);
-    CHECK(rig.route(q).end == (first_whole ? End::merge_whole : End::merge_part));
+    CHECK(rig.route(q).query_end == (first_whole ? QueryEnd::merge_complete : QueryEnd::merge_partial));
   }
 }
 
 TEST_CASE("rule 6: further leaf calls stay within the budget of the span") {
   auto s = settings();
-  s.extra_span = 10;
-  s.extra_free = 2;
-  s.extra_share = 0.1;
+  s.retry_budget_window = 10;
+  s.retry_budget_min = 2;
+  s.retry_budget_ratio = 0.1;
   Rig rig(s, 60);  // so that none becomes suspect
   int extra = 0;
   for (int i = 0; i < 20; ++i) {  // takes 40 queries and parts: 2 + 4 further calls
@@ -698,7 +704,7 @@
 
 TEST_CASE("parts of one query that go to one node share a call") {
   auto s = settings();
-  s.parts_a_call = 4;
+  s.max_parts_per_call = 4;
   Rig rig(s);
   auto q = rig.query(0, 9);
   const auto answer = rig.route(q);
@@ -706,8 +712,8 @@
   int together = 0;
   for (const auto& a : answer.sends)
     for (const auto& b : answer.sends) {
-      CHECK((a.group == b.group) <= (a.node == b.node));
-      together += &a != &b && a.group == b.group;
+      CHECK((a.batch == b.batch) <= (a.node == b.node));
+      together += &a != &b && a.batch == b.batch;
     }
   CHECK(together > 0);
 }
@@ -727,8 +733,8 @@
   for (int i = 0; i < 400; ++i) {
     auto q = rig.query(i % 2, 1);
     const auto answer = rig.route(q);
-    refused[i % 2] += answer.end == End::reject;
-    CHECK((answer.end == End::reject) == answer.sends.empty());
+    refused[i % 2] += answer.query_end == QueryEnd::reject;
+    CHECK((answer.query_end == QueryEnd::reject) == answer.sends.empty());
     if (!q.ended) rig.settle(q, 0, Outcome::cancelled);
   }
   CHECK(refused[0] > 20);
@@ -749,7 +755,7 @@
     int refused = 0;
     for (int i = 0; i < 20; ++i) {
       auto q = rig.query(0, 1, time);
-      refused += rig.route(q).end == End::reject;
+      refused += rig.route(q).query_end == QueryEnd::reject;
       if (!q.ended) rig.settle(q, 0, Outcome::success);
     }
     CHECK((time < 0.4 ? refused >= 10 : refused == 0));
@@ -762,7 +768,7 @@
     int refused = 0;
     for (int i = 0; i < 60; ++i) {
       auto q = rig.query(0, 1);
-      refused += rig.route(q).end == End::reject;
+      refused += rig.route(q).query_end == QueryEnd::reject;
       rig.now += 0.005;
       for (int tries = 0; tries < 3 && !q.ended; ++tries) {
         rig.settle(q, 0, outcome);
@@ -788,7 +794,7 @@
     for (auto& q : queries) rig.settle(q, 0, Outcome::success);
     auto old = rig.query(0, 1, 3.2);  // its client had left it 4 s
     rig.route(old);
-    CHECK((rig.now - old.taken > 0.7) == stood);
+    CHECK((rig.now - old.received_at > 0.7) == stood);
     rig.pass(0.1);
     auto q = rig.query(0, 1);
     rig.route(q);
@@ -811,7 +817,7 @@
     int refused = 0;
     for (int i = 0; i < burst; ++i) {
       auto q = rig.query(0, 4);
-      refused += rig.route(q).end == End::reject;
+      refused += rig.route(q).query_end == QueryEnd::reject;
     }
     CHECK((burst > 2 ? refused > 20 : refused == 0));
   }
@@ -825,7 +831,7 @@
     for (int i = 0; i < 40; ++i) {
       auto q = rig.query(0, parts);
       const auto answer = rig.route(q);
-      refused += answer.end == End::reject;
+      refused += answer.query_end == QueryEnd::reject;
       rig.pass(0.05);
       for (const auto& send : answer.sends)
         if (send.leaf % 5 != 0) rig.settle(q, send.leaf, Outcome::success, 0);
@@ -840,14 +846,14 @@
 TEST_CASE("queries are refused earlier where a client can be told when to come back") {
   for (const double stay_away : {0.0, 0.5}) {
     auto s = settings();
-    s.max_stay_away = stay_away;
+    s.max_retry_after = stay_away;
     Rig rig(s);
     int refused = 0;
     for (int i = 0; i < 60; ++i) {
       auto q = rig.query(0, 9);
       const auto answer = rig.route(q);
-      refused += answer.end == End::reject;
-      if (answer.end == End::reject) CHECK(answer.stay_away == stay_away);
+      refused += answer.query_end == QueryEnd::reject;
+      if (answer.query_end == QueryEnd::reject) CHECK(answer.retry_after == stay_away);
       rig.pass(0.59);
       for (const auto& send : answer.sends) rig.settle(q, send.leaf, Outcome::success, 0);
     }
@@ -857,28 +863,28 @@
 
 TEST_CASE("where the list must be asked for it is asked until it comes") {
   auto s = settings();
-  s.must_ask_list = true;
-  Brain brain(s, 1, 100);
-  brain.list(Rig(s).hosts, true, false);  // known last: nothing that discovery said
+  s.must_request_node_list = true;
+  AdaptiveRoutingPolicy brain(s, 1, 100);
+  brain.update_nodes(Rig(s).hosts, true, false);  // known last: nothing that discovery said
   CHECK(brain.tick(100.1));
   CHECK(!brain.tick(100.2));
-  brain.list_failed(100.3);
+  brain.on_node_list_failed(100.3);
   CHECK(!brain.tick(100.4));
   brain.tick(103.3);  // the round after a standstill only takes note of it
   CHECK(brain.tick(103.4));
-  brain.list(Rig(s).hosts, false);
+  brain.update_nodes(Rig(s).hosts, false);
   brain.tick(120);
   CHECK(!brain.tick(120.1));
 }
 
 TEST_CASE("routers that were turned away together do not ask again together") {
   auto s = settings();
-  s.must_ask_list = true;
+  s.must_request_node_list = true;
   std::set<int> rounds;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Brain brain(s, seed, 100);
+    AdaptiveRoutingPolicy brain(s, seed, 100);
     brain.tick(100.1);
-    brain.list_failed(100.2);
+    brain.on_node_list_failed(100.2);
     auto now = 100.2;
     while (!brain.tick(now) && now < 110) now += 0.1;
     CHECK(now > 101);
@@ -894,30 +900,30 @@
 }
 TEST_CASE("each choice says why") {
   Rig rig;
-  rig.brain.explain(true);
+  rig.brain.enable_trace(true);
   const auto judged = [&](Reason reason) {
-    for (const auto& j : rig.brain.judged())
-      if (j.why.reason == reason) return j;
-    return Judged{kNone, kNone, kNone, {}};
+    for (const auto& j : rig.brain.trace())
+      if (j.explanation.reason == reason) return j;
+    return DecisionTraceEntry{kNone, kNone, kNone, {}};
   };
   auto first = rig.query(0, 1);
   auto answer = rig.route(first);
   REQUIRE(answer.sends.size() == 1);
-  CHECK(answer.sends[0].why.reason == Reason::first);
-  CHECK(answer.sends[0].why.a <= answer.sends[0].why.b);
-  CHECK(answer.sends[0].why.c == doctest::Approx(0.25));
-  const auto dearer = judged(Reason::dearer);
-  CHECK(dearer.taken == answer.sends[0].node);
-  CHECK(dearer.node != dearer.taken);
-  CHECK(dearer.why.a >= dearer.why.b);
+  CHECK(answer.sends[0].explanation.reason == Reason::first_call);
+  CHECK(answer.sends[0].explanation.a <= answer.sends[0].explanation.b);
+  CHECK(answer.sends[0].explanation.c == doctest::Approx(0.25));
+  const auto dearer = judged(Reason::worse_score);
+  CHECK(dearer.chosen_node == answer.sends[0].node);
+  CHECK(dearer.node != dearer.chosen_node);
+  CHECK(dearer.explanation.a >= dearer.explanation.b);
 
   rig.route(first);
-  CHECK(judged(Reason::on_time).node == kNone);
-  CHECK(judged(Reason::on_time).leaf == 0);
+  CHECK(judged(Reason::within_hedge_delay).node == kNone);
+  CHECK(judged(Reason::within_hedge_delay).leaf == 0);
 
   rig.pass(0.05);
   CHECK(rig.settle(first, 0, Outcome::success).cancels.empty());
-  CHECK(rig.route(first).why.reason == Reason::whole);
+  CHECK(rig.route(first).explanation.reason == Reason::complete);
 
   rig.serve(40, 0.02);
   auto late = rig.query(0, 1);
@@ -925,58 +931,58 @@
   rig.pass(0.2);
   answer = rig.route(late);
   REQUIRE(answer.sends.size() == 1);
-  CHECK(answer.sends[0].why.reason == Reason::copy);
-  CHECK(judged(Reason::tried).node == slow);
+  CHECK(answer.sends[0].explanation.reason == Reason::copy);
+  CHECK(judged(Reason::already_tried).node == slow);
   answer = rig.settle(late, 0, Outcome::success);
   REQUIRE(answer.cancels.size() == 1);
-  CHECK(answer.cancels[0].why.reason == Reason::race_lost);
-  CHECK(answer.cancels[0].why.a == doctest::Approx(0.2));
+  CHECK(answer.cancels[0].explanation.reason == Reason::race_lost);
+  CHECK(answer.cancels[0].explanation.a == doctest::Approx(0.2));
   rig.settle(late, 0, Outcome::cancelled, 0);
 
   auto failed = rig.query(2, 1);
   rig.route(failed);
   rig.settle(failed, 0, Outcome::failure);
-  CHECK(rig.route(failed).why.reason == Reason::cannot_reach);
+  CHECK(rig.route(failed).explanation.reason == Reason::share_unreachable);
 
   auto full = rig.query(0, 1);
-  full.barred = Reason::no_room;
-  CHECK(rig.route(full).why.reason == Reason::no_room);
+  full.forced_rejection = Reason::too_many_pending;
+  CHECK(rig.route(full).explanation.reason == Reason::too_many_pending);
 
   rig.hosts[0].up = false;
-  rig.hosts[1].born = rig.now;
-  rig.brain.list(rig.hosts, true);
-  CHECK(rig.brain.belief(1, rig.now) == Belief::cold);
-  CHECK(rig.brain.belief(2, rig.now) == Belief::trusted);
+  rig.hosts[1].started_at = rig.now;
+  rig.brain.update_nodes(rig.hosts, true);
+  CHECK(rig.brain.node_health(1, rig.now) == NodeHealth::slow_start);
+  CHECK(rig.brain.node_health(2, rig.now) == NodeHealth::healthy);
   rig.pass(0.01);
-  for (int i = 0; i < 8 && judged(Reason::cold).leaf == kNone; ++i) {
+  for (int i = 0; i < 8 && judged(Reason::slow_start).leaf == kNone; ++i) {
     auto more = rig.query(0, 1);
     rig.route(more);
   }
-  CHECK(judged(Reason::down).node == 0);
-  CHECK(judged(Reason::cold).node == 1);
-  CHECK(judged(Reason::cold).why.a + 1 > judged(Reason::cold).why.b);
+  CHECK(judged(Reason::unavailable).node == 0);
+  CHECK(judged(Reason::slow_start).node == 1);
+  CHECK(judged(Reason::slow_start).explanation.a + 1 > judged(Reason::slow_start).explanation.b);
 
   rig.pass(3);
-  CHECK(
-      (rig.brain.belief(2, rig.now) == Belief::suspect || rig.brain.belief(2, rig.now) == Belief::on_trial));
+  CHECK((rig.brain.node_health(2, rig.now) == NodeHealth::suspect ||
+         rig.brain.node_health(2, rig.now) == NodeHealth::probing));
   auto hopeless = rig.query(0, 1);
-  CHECK(rig.route(hopeless).why.reason == Reason::out_of_reach);
+  CHECK(rig.route(hopeless).explanation.reason == Reason::too_few_reachable);
 }
 
 TEST_CASE("choices past the bound are counted, not kept") {
   auto s = settings();
-  s.cells = s.span = 1;
+  s.cell_count = s.cells_per_shard = 1;
   Rig rig(s, 700);
-  rig.brain.explain(true);
+  rig.brain.enable_trace(true);
   auto q = rig.query(0, 1);
   rig.route(q);
-  CHECK(rig.brain.judged().size() == kMostJudged);
-  CHECK(rig.brain.unjudged() == 699 - static_cast<long long>(kMostJudged));
+  CHECK(rig.brain.trace().size() == kMaxTraceEntries);
+  CHECK(rig.brain.dropped_trace_entries() == 699 - static_cast<long long>(kMaxTraceEntries));
 }
 
 TEST_CASE("a module that explains decides as one that does not") {
   Rig plain, told;
-  told.brain.explain(true);
+  told.brain.enable_trace(true);
   CHECK(plain.serve(200, 0.03) == told.serve(200, 0.03));
 }
 
@@ -984,18 +990,18 @@
 struct Sites : Rig {
   Sites() : Rig(six(), 6) {
     for (auto& host : hosts) host.zone = host.node / 3;
-    brain.list(hosts, true);
+    brain.update_nodes(hosts, true);
     serve(300, 0.02);
   }
   static Settings six() {
     auto s = settings();
-    s.cells = s.span = 6;
+    s.cell_count = s.cells_per_shard = 6;
     s.zone = kNone;  // neither is nearer
     return s;
   }
   void site_1(const SiteShare& what) {
     const SiteShare both[] = {{}, what};
-    brain.believe(both);
+    brain.set_site_shares(both);
   }
   int far(int many, int vertical = 0) {
     const auto sent = serve(many, 0.02, vertical);
@@ -1023,28 +1029,28 @@
   CHECK(quarter > 5);
   CHECK(quarter < usual * 2 / 3);
   for (auto& host : town.hosts) host.up = host.zone == 1;
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   CHECK(town.far(20) == 20);
-  town.brain.believe({});
+  town.brain.set_site_shares({});
   for (auto& host : town.hosts) host.up = true;
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   CHECK(town.far(200) > quarter);
 }
 
 TEST_CASE("what nobody is left to serve is rejected at once, with a time to come back") {
   Sites town;
   for (auto& host : town.hosts) host.up = host.zone == 1;
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   town.site_1({true, false, 0, town.now});
   auto q = town.query(0, 1);
   const auto answer = town.route(q);
-  CHECK(answer.end == End::reject);
-  CHECK(answer.why.reason == Reason::out_of_reach);
-  CHECK(answer.stay_away > 0);
+  CHECK(answer.query_end == QueryEnd::reject);
+  CHECK(answer.explanation.reason == Reason::too_few_reachable);
+  CHECK(answer.retry_after > 0);
   // A process that began since the loss is not judged by it.
-  for (auto& host : town.hosts) host.born = town.now + 1;
+  for (auto& host : town.hosts) host.started_at = town.now + 1;
   town.pass(1.5);
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   auto again = town.query(0, 1);
   CHECK(town.route(again).sends.size() == 1);
 }
@@ -1054,11 +1060,11 @@
     CAPTURE(vertical);
     Sites town;
     for (auto& host : town.hosts) host.up = host.zone == 1;
-    town.brain.list(town.hosts, true);
+    town.brain.update_nodes(town.hosts, true);
     auto q = town.query(vertical, 1);
     REQUIRE(town.route(q).sends.size() == 1);
     for (auto& host : town.hosts) host.up = true;
-    town.brain.list(town.hosts, true);
+    town.brain.update_nodes(town.hosts, true);
     CHECK(town.route(q).sends.empty());
     town.site_1({true, false, 0, town.now});
     const auto answer = town.route(q);
@@ -1072,7 +1078,7 @@
 TEST_CASE("nodes whose site is back are not held suspect for what its loss made of them") {
   Sites town;
   for (auto& host : town.hosts) host.up = host.zone == 1;
-  town.brain.list(town.hosts, true);
+  town.brain.update_nodes(town.hosts, true);
   for (int i = 0; i < 30; ++i) {
     auto q = town.query(0, 6);
     town.route(q);
@@ -1083,16 +1089,16 @@
     }
     town.pass(0.05);
   }
-  REQUIRE(town.brain.belief(4, town.now) == Belief::suspect);
+  REQUIRE(town.brain.node_health(4, town.now) == NodeHealth::suspect);
   town.site_1({true, false, 0, town.now});
   town.pass(1);
   town.site_1({false, false, 0.25, town.now});
-  for (const int node : {3, 4, 5}) CHECK(town.brain.belief(node, town.now) == Belief::unheard);
+  for (const int node : {3, 4, 5}) CHECK(town.brain.node_health(node, town.now) == NodeHealth::unknown);
 }
 
 TEST_CASE("no site is judged where nothing is believed, on the same random numbers") {
   Sites plain, told;
   const SiteShare sound[] = {{}, {}};
-  told.brain.believe(sound);
+  told.brain.set_site_shares(sound);
   CHECK(plain.serve(200, 0.03) == told.serve(200, 0.03));
 }
