--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -131,12 +131,12 @@
 
 int plan(const Options& o) {
   const auto config = load_config(o.config);
-  auto list = config.known;
+  auto list = config.initial_members;
   if (!o.list.empty()) list = read_list(content_of(o.list));
   const auto zones = index(config.zones);
   PlannedTown town;
   town.sites = static_cast<int>(zones.size());
-  town.shards = config.bounds.shards;
+  town.shards = config.connection_limits.shards;
   town.cells = config.settings.cell_count;
   town.span = config.settings.cells_per_shard;
   town.settings = config.settings;
