--- a/src/clients/connection.hpp
+++ b/src/clients/connection.hpp
@@ -10,7 +10,7 @@
 
 #include "buffers/ring_buffer.hpp"
 #include "clients/http_messages.hpp"
-#include "queries/due.hpp"
+#include "queries/timer_queue.hpp"
 #include "timeline/event.hpp"
 
 namespace yoketurn {
--- a/src/datanodes/frames.hpp
+++ b/src/datanodes/frames.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "buffers/ring.hpp"
+#include "buffers/ring_buffer.hpp"
 #include "routing_policy.hpp"
 
 namespace yoketurn {
