--- a/examples/standin.hpp
+++ b/examples/standin.hpp
@@ -53,7 +53,7 @@
   }
   bool open() const { return socket_.is_open(); }
 
-  Ring in{2 * kLargestFrame};
+  Ring in{2 * kMaxFrameBytes};
 
  private:
   void read() {
@@ -178,7 +178,7 @@
     answer(from, part, "done", 1000 + part.shard, fmt::format("{}@{}", part.text, part.shard));
   };
   static void answer(Session& to, const Part& part, std::string_view end, int score, std::string_view value) {
-    to.say(frame('R', fmt::format("{} {} {} -\n{}", part.id, end, score, value)));
+    to.say(encode_frame('R', fmt::format("{} {} {} -\n{}", part.id, end, score, value)));
   }
 
   // What a question for the load gets; nothing where it is empty.
@@ -194,12 +194,12 @@
 
  protected:
   void came(Session& session) override {
-    for (Frame frame; take_frame(session.in, frame) == FrameState::whole;) {
-      if (frame.letter == 'C') on_give_up(frame.rest);
-      if (frame.letter == 'M')
-        if (const auto report = on_load(); !report.empty()) session.say(yoketurn::frame('M', report));
-      if (frame.letter != 'S') continue;
-      for (std::string_view rest = frame.rest; !rest.empty();) {
+    for (Frame frame; decode_frame(session.in, frame) == FrameStatus::complete;) {
+      if (frame.type == 'C') on_give_up(frame.payload);
+      if (frame.type == 'M')
+        if (const auto report = on_load(); !report.empty()) session.say(yoketurn::encode_frame('M', report));
+      if (frame.type != 'S') continue;
+      for (std::string_view rest = frame.payload; !rest.empty();) {
         Part part;
         std::size_t length = 0;
         part.id = word(rest, ' ');
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -29,8 +29,8 @@
       owner_(owner),
       node_(node),
       due_key_(due.fresh_key()),
-      in_(kLargestFrame),
-      outgoing_(kLargestFrame * limits.parts_a_call) {}
+      in_(kMaxFrameBytes),
+      outgoing_(kMaxFrameBytes * limits.parts_a_call) {}
 
 void NodeConnection::open(const asio::ip::tcp::endpoint& at) {
   state_ = State::connecting;
@@ -212,12 +212,12 @@
 }
 
 std::string NodeConnection::frame_of(std::span<const OutgoingPart> parts, double now) const {
-  std::vector<PartText> texts;
+  std::vector<PartRequest> texts;
   for (const auto& part : parts) {
     const auto milliseconds = std::max(static_cast<long long>((part.expires - now) * 1e3), 1LL);
     texts.push_back({part.id, part.shard, fmt::format("d={}{}", milliseconds, part.options), *part.text});
   }
-  return call_frame(texts);
+  return encode_call_frame(texts);
 }
 
 void NodeConnection::mark_written(const std::string& id) {
@@ -266,9 +266,9 @@
 void NodeConnection::take_frames() {
   Frame frame;
   for (;;) {
-    const auto state = take_frame(in_, frame);
-    if (state == FrameState::incomplete) break;
-    if (state == FrameState::broken || !take(frame)) return spoilt();
+    const auto state = decode_frame(in_, frame);
+    if (state == FrameStatus::incomplete) break;
+    if (state == FrameStatus::malformed || !take(frame)) return spoilt();
     if (state_ != State::open) return;
   }
   // Nothing is owed on it: what has come will only stand in the way of the next answer.
@@ -278,17 +278,17 @@
 }
 
 bool NodeConnection::take(const Frame& frame) {
-  if (frame.letter == 'H') return true;  // the answer to a probe, which is not sent
-  if (frame.letter == 'M') {
-    if (load_asked_ > 0) owner_.reported(*this, frame.rest, std::exchange(load_asked_, 0));
+  if (frame.type == 'H') return true;  // the answer to a probe, which is not sent
+  if (frame.type == 'M') {
+    if (load_asked_ > 0) owner_.reported(*this, frame.payload, std::exchange(load_asked_, 0));
     return true;
   }
-  if (frame.letter != 'R') return false;
-  const auto answer = read_answer(frame.rest);
+  if (frame.type != 'R') return false;
+  const auto answer = parse_part_answer(frame.payload);
   if (!answer) return false;
   // Behind a length that is too short stands the rest of the value, where a frame should begin. Noise behind
   // a good answer looks the same: rather send that part again than serve half a value.
-  if (!may_begin_frame(in_)) return false;
+  if (!can_start_frame(in_)) return false;
   const std::string id(answer->id);
   const auto at = out_.find(id);
   // A name that is not known says that the answer which was due is not to be had.
@@ -315,7 +315,7 @@
   const auto leaves = !retired_ && (silent || 2 * given_up_.size() > limits_.parts);
   retired_ = retired_ || leaves;
   if (leaves) end_waiting();
-  const auto frame = give_up_frame(id);
+  const auto frame = encode_cancel_frame(id);
   if (state_ == State::open) outgoing_.put(frame);
   write();
   if (state_ == State::open) settle();
@@ -343,7 +343,7 @@
 bool NodeConnection::ask_load(double now) {
   if (state_ != State::open || retired_ || (load_asked_ > 0 && now < load_asked_ + kLoadPatience))
     return false;
-  const auto frame = yoketurn::frame('M', "");
+  const auto frame = yoketurn::encode_frame('M', "");
   if (!outgoing_.put(frame)) return false;
   load_asked_ = now;
   write();
--- a/src/datanodes/frames.cpp
+++ b/src/datanodes/frames.cpp
@@ -30,52 +30,52 @@
 
 }  // namespace
 
-std::string frame(char letter, std::string_view rest) {
-  const auto length = rest.size() + 1;
+std::string encode_frame(char type, std::string_view payload) {
+  const auto length = payload.size() + 1;
   std::string result;
   result.reserve(kLengthBytes + length);
   for (int shift = 24; shift >= 0; shift -= 8) result += static_cast<char>((length >> shift) & 0xff);
-  result += letter;
-  result += rest;
+  result += type;
+  result += payload;
   return result;
 }
 
-std::string call_frame(std::span<const PartText> parts) {
+std::string encode_call_frame(std::span<const PartRequest> parts) {
   std::string rest;
   for (const auto& part : parts) {
-    rest += fmt::format("{} {} {} {}\n", part.id, part.shard, part.list, part.text.size());
+    rest += fmt::format("{} {} {} {}\n", part.id, part.shard, part.options, part.text.size());
     rest += part.text;
   }
-  return frame('S', rest);
+  return encode_frame('S', rest);
 }
 
-std::string give_up_frame(std::string_view id) {
-  return frame('C', id);
+std::string encode_cancel_frame(std::string_view id) {
+  return encode_frame('C', id);
 }
 
-bool may_begin_frame(const Ring& ring) {
+bool can_start_frame(const Ring& ring) {
   if (ring.size() == 0) return true;
   const auto length = length_at(ring);
-  if (length + kLengthBytes > kLargestFrame || (ring.size() >= kLengthBytes && length == 0)) return false;
+  if (length + kLengthBytes > kMaxFrameBytes || (ring.size() >= kLengthBytes && length == 0)) return false;
   if (ring.size() <= kLengthBytes) return true;
   char letter = 0;
   ring.peek(kLengthBytes, &letter, 1);
   return std::string_view("SCRFHM").find(letter) != std::string_view::npos;
 }
 
-FrameState take_frame(Ring& ring, Frame& result) {
-  if (!may_begin_frame(ring)) return FrameState::broken;
-  if (ring.size() < kLengthBytes) return FrameState::incomplete;
+FrameStatus decode_frame(Ring& ring, Frame& result) {
+  if (!can_start_frame(ring)) return FrameStatus::malformed;
+  if (ring.size() < kLengthBytes) return FrameStatus::incomplete;
   const auto length = length_at(ring);
-  if (ring.size() < kLengthBytes + length) return FrameState::incomplete;
-  ring.peek(kLengthBytes, &result.letter, 1);
-  result.rest.resize(length - 1);
-  ring.peek(kLengthBytes + 1, result.rest.data(), length - 1);
+  if (ring.size() < kLengthBytes + length) return FrameStatus::incomplete;
+  ring.peek(kLengthBytes, &result.type, 1);
+  result.payload.resize(length - 1);
+  ring.peek(kLengthBytes + 1, result.payload.data(), length - 1);
   ring.consume(kLengthBytes + length);
-  return FrameState::whole;
+  return FrameStatus::complete;
 }
 
-std::optional<PartAnswer> read_answer(std::string_view rest) {
+std::optional<PartAnswer> parse_part_answer(std::string_view rest) {
   const auto end = rest.find('\n');
   if (end == std::string_view::npos) return std::nullopt;
   auto line = rest.substr(0, end);
--- a/src/datanodes/frames.hpp
+++ b/src/datanodes/frames.hpp
@@ -11,30 +11,30 @@
 
 namespace yoketurn {
 
-inline constexpr std::size_t kLargestText = 64 * 1024;  // of a query's text or a part's value
-inline constexpr std::size_t kLargestLine = 4 * 1024;   // that goes before it
-inline constexpr std::size_t kLargestFrame = 5 + kLargestLine + kLargestText;
+inline constexpr std::size_t kMaxTextBytes = 64 * 1024;     // of a query's text or a part's value
+inline constexpr std::size_t kMaxPartLineBytes = 4 * 1024;  // that goes before it
+inline constexpr std::size_t kMaxFrameBytes = 5 + kMaxPartLineBytes + kMaxTextBytes;
 
-struct PartText {
+struct PartRequest {
   std::string id;
   int shard = 0;
-  std::string list;  // such as d=240,k=5c0f
+  std::string options;  // such as d=240,k=5c0f
   std::string_view text;
 };
 
-std::string frame(char letter, std::string_view rest);
-std::string call_frame(std::span<const PartText> parts);
-std::string give_up_frame(std::string_view id);
+std::string encode_frame(char type, std::string_view payload);
+std::string encode_call_frame(std::span<const PartRequest> parts);
+std::string encode_cancel_frame(std::string_view id);
 
 struct Frame {
-  char letter = 0;
-  std::string rest;
+  char type = 0;
+  std::string payload;
 };
 
-enum class FrameState { incomplete, whole, broken };
-FrameState take_frame(Ring& ring, Frame& frame);
+enum class FrameStatus { incomplete, complete, malformed };
+FrameStatus decode_frame(Ring& ring, Frame& frame);
 
-bool may_begin_frame(const Ring& ring);  // whether what stands there can be the first bytes of a frame
+bool can_start_frame(const Ring& ring);  // whether what stands there can be the first bytes of a frame
 
 struct PartAnswer {
   std::string_view id;
@@ -42,6 +42,6 @@
   double score = 0;
   std::string_view value;
 };
-std::optional<PartAnswer> read_answer(std::string_view rest);  // of a frame R
+std::optional<PartAnswer> parse_part_answer(std::string_view rest);  // of a frame R
 
 }  // namespace yoketurn
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -136,29 +136,29 @@
 }
 
 TEST_CASE("frames are whole wherever they are cut, and unusable ones are told") {
-  const auto both = frame('R', "a.1 done 7 -\nv") + frame('F', "");
+  const auto both = encode_frame('R', "a.1 done 7 -\nv") + encode_frame('F', "");
   for (std::size_t cut = 0; cut <= both.size(); ++cut) {
-    Ring ring(kLargestFrame);
+    Ring ring(kMaxFrameBytes);
     std::string seen;
     Frame got;
     for (const auto& piece : {both.substr(0, cut), both.substr(cut)}) {
       ring.put(piece);
-      while (take_frame(ring, got) == FrameState::whole) seen += got.letter + got.rest + "|";
+      while (decode_frame(ring, got) == FrameStatus::complete) seen += got.type + got.payload + "|";
     }
     CHECK(seen == "Ra.1 done 7 -\nv|F|");
   }
   for (const auto& head : {std::string("\0\0\0\0", 4), std::string("\x7f\0\0\1", 4)}) {
-    Ring ring(kLargestFrame);
+    Ring ring(kMaxFrameBytes);
     Frame got;
     ring.put(head);
-    CHECK(take_frame(ring, got) == FrameState::broken);
+    CHECK(decode_frame(ring, got) == FrameStatus::malformed);
   }
 }
 
 TEST_CASE("a call's frame holds each part's line and text") {
-  const PartText parts[] = {{"9b.3", 3, "d=240,k=5c", "c41e77d0"}, {"9b.4", 4, "d=240", "x\ny"}};
+  const PartRequest parts[] = {{"9b.3", 3, "d=240,k=5c", "c41e77d0"}, {"9b.4", 4, "d=240", "x\ny"}};
   const auto rest = std::string("9b.3 3 d=240,k=5c 8\nc41e77d09b.4 4 d=240 3\nx\ny");
-  CHECK(call_frame(parts) == std::string("\0\0\0\x2fS", 5) + rest);
+  CHECK(encode_call_frame(parts) == std::string("\0\0\0\x2fS", 5) + rest);
 }
 
 TEST_CASE("answers of nodes") {
@@ -183,7 +183,7 @@
   };
   for (const auto& row : rows) {
     CAPTURE(row.rest);
-    const auto answer = read_answer(row.rest);
+    const auto answer = parse_part_answer(row.rest);
     REQUIRE(answer.has_value() == row.usable);
     if (!answer) continue;
     CHECK(answer->id == "9b.3");
--- a/tests/node_connection_test.cpp
+++ b/tests/node_connection_test.cpp
@@ -101,7 +101,7 @@
 };
 
 void answer(tcp::socket& node, std::string_view id) {
-  asio::write(node, asio::buffer(frame('R', std::string(id) + " done 1 -\nvalue")));
+  asio::write(node, asio::buffer(encode_frame('R', std::string(id) + " done 1 -\nvalue")));
 }
 
 }  // namespace
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -19,7 +19,7 @@
 
 // An answer whose length is off by so much.
 std::string spoilt(const DataNode::Part& part, int by) {
-  auto bytes = frame('R', part.id + " done 1 -\nq@1");
+  auto bytes = encode_frame('R', part.id + " done 1 -\nq@1");
   bytes[3] = static_cast<char>(bytes[3] + by);
   return bytes;
 }
@@ -252,8 +252,8 @@
          DataNode::answer(from, part, "done", 1, "q@1");
        },
        200},
-      {"sends an unknown frame", [](auto&, auto& from) { from.say(frame('X', "what")); }, 200},
-      {"sends F", [](auto&, auto& from) { from.say(frame('F', "no")); }, 200},
+      {"sends an unknown frame", [](auto&, auto& from) { from.say(encode_frame('X', "what")); }, 200},
+      {"sends F", [](auto&, auto& from) { from.say(encode_frame('F', "no")); }, 200},
       {"sends too large a frame", [](auto&, auto& from) { from.say(std::string("\x7f\xff\xff\xffR", 5)); },
        200},
       {"answers for another part and stays",
@@ -267,17 +267,18 @@
       {"cuts all of the value", [](auto& part, auto& from) { from.say(spoilt(part, -3)); }, 200},
       {"tells too long a length", [](auto& part, auto& from) { from.say(spoilt(part, 9)); }, 200},
       {"takes the head of the next frame for its value",
-       [](auto& part, auto& from) { from.say(spoilt(part, 2) + frame('R', "x done 1 -\nv")); }, 200},
-      {"sends a line without end", [](auto& part, auto& from) { from.say(frame('R', part.id + " done")); },
-       200},
-      {"sends an unknown end", [](auto& part, auto& from) { from.say(frame('R', part.id + " gone 1 -\nv")); },
-       200},
+       [](auto& part, auto& from) { from.say(spoilt(part, 2) + encode_frame('R', "x done 1 -\nv")); }, 200},
+      {"sends a line without end",
+       [](auto& part, auto& from) { from.say(encode_frame('R', part.id + " done")); }, 200},
+      {"sends an unknown end",
+       [](auto& part, auto& from) { from.say(encode_frame('R', part.id + " gone 1 -\nv")); }, 200},
       {"sends a few bytes of noise", [](auto&, auto& from) { from.say("no"); }, 200},
       {"sends a frame that stops halfway",
-       [](auto& part, auto& from) { from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, 9)); }, 200},
+       [](auto& part, auto& from) { from.say(encode_frame('R', part.id + " done 1 -\nq@1").substr(0, 9)); },
+       200},
       {"sends half a frame and ends",
        [](auto& part, auto& from) {
-         from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, 9));
+         from.say(encode_frame('R', part.id + " done 1 -\nq@1").substr(0, 9));
          from.close();
        },
        200},
@@ -307,14 +308,14 @@
   const std::function<std::string(const std::string&, const std::string&)> more[] = {
       [](const auto& good, const auto&) { return good + good; },
       [](const auto& good, const auto&) { return good + good + good.substr(0, 7); },
-      [](const auto&, const auto& id) { return frame('R', id + " done 1 inflight=?;,=x =\nq@1"); },
-      [](const auto&, const auto& id) { return frame('R', id + " done 1\nq@1"); },
+      [](const auto&, const auto& id) { return encode_frame('R', id + " done 1 inflight=?;,=x =\nq@1"); },
+      [](const auto&, const auto& id) { return encode_frame('R', id + " done 1\nq@1"); },
   };
   for (const auto& say : more) {
     Town town(1);
     for (int i = 0; i < 3; ++i) {
       town.nodes[0]->on_part = [&](const auto& part, auto& from) {
-        from.say(say(frame('R', part.id + " done 1 -\nq@1"), part.id));
+        from.say(say(encode_frame('R', part.id + " done 1 -\nq@1"), part.id));
       };
       Client client(town);
       client.say(ask("look", {1}, "t" + std::to_string(i)));
@@ -326,13 +327,13 @@
 }
 
 TEST_CASE("what is out beside a spoilt answer is told at once, and an answer cut anywhere is never served") {
-  const auto length = frame('R', "t0.1 done 1 -\nq@1").size();
+  const auto length = encode_frame('R', "t0.1 done 1 -\nq@1").size();
   for (std::size_t cut = 1; cut < length; ++cut) {
     CAPTURE(cut);
     Town town(1);
     int spoil = 2;  // the first part waits for good, the second one is cut
     town.nodes[0]->on_part = [&, usual = town.nodes[0]->on_part](const auto& part, auto& from) {
-      if (spoil > 0 && --spoil == 0) from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, cut));
+      if (spoil > 0 && --spoil == 0) from.say(encode_frame('R', part.id + " done 1 -\nq@1").substr(0, cut));
       if (spoil == 0 && part.id.starts_with("n")) usual(part, from);
     };
     Client first(town), second(town);
