--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -280,7 +280,7 @@
 bool NodeConnection::take(const Frame& frame) {
   if (frame.type == 'H') return true;  // the answer to a probe, which is not sent
   if (frame.type == 'M') {
-    if (load_asked_ > 0) owner_.reported(*this, frame.payload, std::exchange(load_asked_, 0));
+    if (load_asked_ > 0) owner_.load_reported(*this, frame.payload, std::exchange(load_asked_, 0));
     return true;
   }
   if (frame.type != 'R') return false;
--- a/src/datanodes/connection.hpp
+++ b/src/datanodes/connection.hpp
@@ -50,7 +50,7 @@
     virtual void ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) = 0;
     virtual void opened(NodeConnection& connection, double took) = 0;
     virtual void closed(NodeConnection& connection, Closing closing, std::string_view why) = 0;
-    virtual void reported(NodeConnection& connection, std::string_view report, double asked) = 0;
+    virtual void load_reported(NodeConnection& connection, std::string_view report, double asked) = 0;
   };
 
   NodeConnection(boost::asio::io_context& context, DueTimes& due, const Limits& limits, Owner& owner,
--- a/src/datanodes/pool.cpp
+++ b/src/datanodes/pool.cpp
@@ -6,8 +6,9 @@
 
 namespace yoketurn {
 
-Pool::Pool(boost::asio::io_context& context, DueTimes& due, const NodeConnection::Limits& limits,
-           std::size_t most_connections, Log& log, Listener& listener)
+ConnectionPool::ConnectionPool(boost::asio::io_context& context, DueTimes& due,
+                               const NodeConnection::Limits& limits, std::size_t most_connections, Log& log,
+                               Listener& listener)
     : context_(context),
       due_(due),
       limits_(limits),
@@ -15,42 +16,44 @@
       log_(log),
       listener_(listener) {}
 
-Pool::~Pool() {
+ConnectionPool::~ConnectionPool() {
   for (auto& node : nodes_)
     for (const auto& connection : std::vector(node.connections))
       connection->close(Closing::stopped, "stopped");
 }
 
-void Pool::locate(int node, const boost::asio::ip::tcp::endpoint& at, double born, bool up) {
+void ConnectionPool::set_node(int node, const boost::asio::ip::tcp::endpoint& at, double born, bool up) {
   if (nodes_.size() <= static_cast<std::size_t>(node)) nodes_.resize(static_cast<std::size_t>(node) + 1);
   auto& known = nodes_[static_cast<std::size_t>(node)];
-  if (!up) leave(node);  // a draining node is sent nothing more, not even what waits for a connection to it
+  if (!up)
+    retire_connections(
+        node);  // a draining node is sent nothing more, not even what waits for a connection to it
   if (known.at == at && known.born == born) return;  // of a number's former node nothing is open any more
   known.at = at;
   known.born = born;
-  leave(node);  // what is open leads to a process that is no more
+  retire_connections(node);  // what is open leads to a process that is no more
   if (up) open_ahead(node);
 }
 
 // A new connection keeps its first part for as long as its handshake takes, and no giving up can overtake
 // that: the part would be taken up after its query has had its answer. So it is opened before there is a part
 // for it.
-void Pool::open_ahead(int node) {
+void ConnectionPool::open_ahead(int node) {
   if (2 * open_ < most_connections_) open(node);
 }
 
-void Pool::leave(int node) {
+void ConnectionPool::retire_connections(int node) {
   if (static_cast<std::size_t>(node) >= nodes_.size()) return;
   for (const auto& connection : std::vector(nodes_[static_cast<std::size_t>(node)].connections))
     connection->retire();
 }
 
-bool Pool::holds(int node) const {
+bool ConnectionPool::has_connection(int node) const {
   return static_cast<std::size_t>(node) < nodes_.size() &&
          !nodes_[static_cast<std::size_t>(node)].connections.empty();
 }
 
-void Pool::send(int node, int group, OutgoingPart part, double timeout, double by) {
+void ConnectionPool::send(int node, int group, OutgoingPart part, double timeout, double by) {
   const auto ref = part.ref;
   auto& out = out_[ref];
   out.id = part.id;
@@ -58,7 +61,7 @@
   const auto at = now();
   part.expires = at + timeout;
   part.send_by = at + std::min(by, timeout);
-  due_.set(out.due, part.expires, [this, ref](double) { give_up(ref, Outcome::timed_out); });
+  due_.set(out.due, part.expires, [this, ref](double) { cancel(ref, Outcome::timed_out); });
   // A connection may come up, or take what waits for it, when the time for a deduplicated part is over.
   if (by < timeout) {
     out.by = due_.fresh_key();
@@ -67,7 +70,7 @@
   turn_[{node, group}].push_back(std::move(part));
 }
 
-void Pool::flush() {
+void ConnectionPool::flush() {
   const auto at = now();
   for (auto& [where, parts] : std::exchange(turn_, {})) {
     std::erase_if(parts, [&](const OutgoingPart& part) { return !out_.contains(part.ref); });
@@ -75,7 +78,7 @@
     const auto connection = connection_for(where.first, parts, at);
     if (!connection) {
       log_.line("no_connection", "node={} open={}", where.first, open_);
-      listener_.no_room();
+      listener_.connection_limit_reached();
       for (const auto& part : parts) ended(part.ref, Outcome::unsent, 0, {});
       continue;
     }
@@ -84,8 +87,8 @@
   }
 }
 
-std::shared_ptr<NodeConnection> Pool::connection_for(int node, std::span<const OutgoingPart> parts,
-                                                     double now) {
+std::shared_ptr<NodeConnection> ConnectionPool::connection_for(int node, std::span<const OutgoingPart> parts,
+                                                               double now) {
   auto& known = nodes_.at(static_cast<std::size_t>(node));
   for (const auto& connection : known.connections)
     if (connection->takes(parts, now)) return connection;
@@ -93,7 +96,7 @@
   return open(node);
 }
 
-std::shared_ptr<NodeConnection> Pool::open(int node) {
+std::shared_ptr<NodeConnection> ConnectionPool::open(int node) {
   auto& known = nodes_.at(static_cast<std::size_t>(node));
   const auto fresh =
       std::make_shared<NodeConnection>(context_, due_, limits_, static_cast<Owner&>(*this), node);
@@ -103,7 +106,7 @@
   return fresh;
 }
 
-bool Pool::make_room() {
+bool ConnectionPool::make_room() {
   std::shared_ptr<NodeConnection> oldest;
   for (const auto& node : nodes_)
     for (const auto& connection : node.connections)
@@ -114,7 +117,7 @@
   return true;
 }
 
-void Pool::give_up(const CallRef& ref, Outcome outcome) {
+void ConnectionPool::cancel(const CallRef& ref, Outcome outcome) {
   const auto at = out_.find(ref);
   if (at == out_.end()) return;
   const auto connection = at->second.connection.lock();
@@ -128,7 +131,7 @@
   ended(ref, outcome, 0, {});
 }
 
-void Pool::withdraw(const CallRef& ref) {
+void ConnectionPool::withdraw(const CallRef& ref) {
   const auto at = out_.find(ref);
   if (at == out_.end()) return;
   const auto connection = at->second.connection.lock();
@@ -136,14 +139,14 @@
   if (!connection || connection->unsend(id)) ended(ref, Outcome::unsent, 0, {});
 }
 
-void Pool::drop_unsent(long long query) {
+void ConnectionPool::cancel_unsent(long long query) {
   std::vector<CallRef> calls;
   for (auto at = out_.lower_bound({query, 0, 0}); at != out_.end() && at->first.query == query; ++at)
     calls.push_back(at->first);
   for (const auto& ref : calls) withdraw(ref);
 }
 
-void Pool::ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) {
+void ConnectionPool::ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) {
   const auto at = out_.find(ref);
   if (at == out_.end()) return;
   due_.drop(at->second.due);
@@ -152,27 +155,27 @@
   listener_.call_ended(ref, outcome, score, value);
 }
 
-void Pool::ask_loads() {
+void ConnectionPool::request_loads() {
   const auto at = now();
   for (const auto& node : nodes_)
     for (const auto& connection : node.connections)
       if (connection->ask_load(at)) {
-        listener_.load_asked(connection->node());
+        listener_.load_requested(connection->node());
         break;
       }
 }
 
-void Pool::opened(NodeConnection& connection, double took) {
-  listener_.connected(connection.node(), took);
+void ConnectionPool::opened(NodeConnection& connection, double took) {
+  listener_.connection_opened(connection.node(), took);
 }
 
-void Pool::reported(NodeConnection& connection, std::string_view report, double asked) {
-  listener_.reported(connection.node(), report, asked);
+void ConnectionPool::load_reported(NodeConnection& connection, std::string_view report, double asked) {
+  listener_.load_reported(connection.node(), report, asked);
 }
 
-void Pool::closed(NodeConnection& connection, Closing closing, std::string_view why) {
+void ConnectionPool::closed(NodeConnection& connection, Closing closing, std::string_view why) {
   --open_;
-  listener_.disconnected(connection.node(), closing);
+  listener_.connection_closed(connection.node(), closing);
   std::erase_if(nodes_[static_cast<std::size_t>(connection.node())].connections,
                 [&](const auto& held) { return held.get() == &connection; });
   if (closing != Closing::idle) log_.line("node_closed", "node={} why=\"{}\"", connection.node(), why);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -364,7 +364,7 @@
   }
   if (const auto every = config_.operators.timeline.reports; every > 0 && at >= reports_at_) {
     reports_at_ = at + every;
-    pool_.ask_loads();
+    pool_.request_loads();
   }
 }
 
@@ -413,19 +413,19 @@
   versions.ended(call.node, call.outcome, now());
 }
 
-void Router::connected(int node, double took) {
+void Router::connection_opened(int node, double took) {
   if (recorder_) recorder_->opened(node, took, now());
 }
 
-void Router::disconnected(int node, Closing closing) {
+void Router::connection_closed(int node, Closing closing) {
   if (recorder_) recorder_->closed(node, closing, now());
 }
 
-void Router::load_asked(int node) {
+void Router::load_requested(int node) {
   if (recorder_) recorder_->load_asked(node, now());
 }
 
-void Router::reported(int node, std::string_view text, double asked) {
+void Router::load_reported(int node, std::string_view text, double asked) {
   if (recorder_) recorder_->load_answered(node, now());
   if (!recorder_ || text == "-" || text == "failed") return;
   const auto at = now();
@@ -437,11 +437,11 @@
   recorder_->reported(node, report->in_flight, report->queue, measured, Report::fresh, at);
 }
 
-void Router::no_room() {
+void Router::connection_limit_reached() {
   if (recorder_)
     recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::connections),
-                    static_cast<double>(pool_.connections()), static_cast<double>(node_connections(config_)),
-                    now());
+                    static_cast<double>(pool_.connection_count()),
+                    static_cast<double>(node_connections(config_)), now());
 }
 
 void Router::door(What what, std::uint8_t why, int connection, std::uint32_t address, double a, double b) {
@@ -530,7 +530,7 @@
   log_.line("figures",
             "taken={} merged={} rejected={} aborted={} left={} bad={} in_hand={} open={} clients={} nodes={}",
             figures_.taken, figures_.merged, figures_.rejected, figures_.aborted, figures_.left, figures_.bad,
-            by_client_.size(), open_, clients_.connections(), pool_.connections());
+            by_client_.size(), open_, clients_.connections(), pool_.connection_count());
 }
 
 // --- clients
@@ -610,7 +610,7 @@
   open_ids_.erase(held.id);
   open_ -= 1 + static_cast<int>(held.parts.size());
   held.open = false;
-  pool_.drop_unsent(query);
+  pool_.cancel_unsent(query);
 }
 
 void Router::answer(long long query, int status, std::string_view body, double retry_after) {
@@ -639,7 +639,7 @@
 }
 
 void Router::cancel(long long query, const Cancel& cancel) {
-  pool_.give_up({query, cancel.leaf, cancel.call}, Outcome::cancelled);
+  pool_.cancel({query, cancel.leaf, cancel.call}, Outcome::cancelled);
 }
 
 void Router::merge(long long query, bool whole) {
@@ -752,10 +752,10 @@
                           started, list.version, now());
     }
     if (member.gone) {
-      pool_.leave(node);
+      pool_.retire_connections(node);
       leaving_.emplace(member.id, node);
     } else {
-      pool_.locate(node, member.at, started, member.up);
+      pool_.set_node(node, member.at, started, member.up);
       leaving_.erase(member.id);
     }
     if (member.up) ++ready;
@@ -763,7 +763,7 @@
   if (list.full)
     for (const auto& [id, node] : nodes_)
       if (!present.contains(node) && leaving_.emplace(id, node).second) {
-        pool_.leave(node);
+        pool_.retire_connections(node);
         if (recorder_) recorder_->left(node, list.version, now());
       }
   queries_.list(hosts, list.full, now());
@@ -794,7 +794,7 @@
 void Router::let_go() {
   if (!news_.empty()) return;  // their queries have not been told of it yet
   std::erase_if(leaving_, [this](const auto& gone) {
-    if (pool_.holds(gone.second)) return false;
+    if (pool_.has_connection(gone.second)) return false;
     queries_.forget_node(gone.second);
     if (recorder_) recorder_->forgotten(gone.second, now());
     spare_.push_back(gone.second);
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -31,7 +31,10 @@
 
 namespace yoketurn {
 
-class Router : private Actions, private Pool::Listener, private Listener::Asker, private Watch::Listener {
+class Router : private Actions,
+               private ConnectionPool::Listener,
+               private Listener::Asker,
+               private Watch::Listener {
  public:
   // starting: not yet a node to send to. serving. draining: told to stop; goes on answering on the
   // connections it has, then closes them and answers what it holds. stopped: owes nothing.
@@ -94,11 +97,11 @@
   void ended(int vertical, const Call& call) override;
 
   void call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) override;
-  void connected(int node, double took) override;
-  void disconnected(int node, Closing closing) override;
-  void load_asked(int node) override;
-  void reported(int node, std::string_view report, double asked) override;
-  void no_room() override;
+  void connection_opened(int node, double took) override;
+  void connection_closed(int node, Closing closing) override;
+  void load_requested(int node) override;
+  void load_reported(int node, std::string_view report, double asked) override;
+  void connection_limit_reached() override;
   void door(What what, std::uint8_t why, int connection, std::uint32_t address, double a, double b) override;
   void asked(int connection, const ClientConnection::Request& request) override;
   void left(int connection) override;
@@ -182,7 +185,7 @@
   // These tell of what they hold when they end, so all that is told of outlives them.
   DueTimes due_;
   Queries queries_;
-  Pool pool_;
+  ConnectionPool pool_;
   yoketurn::Listener clients_;
   Watch watch_;
   std::unique_ptr<TimelineServer> server_;
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -52,22 +52,22 @@
 
 namespace {
 
-struct Ends : Pool::Listener {
+struct Ends : ConnectionPool::Listener {
   void call_ended(const CallRef& ref, Outcome outcome, double, std::string_view) override {
     ended.emplace_back(ref.leaf, outcome);
   }
-  void connected(int, double) override {}
-  void disconnected(int, Closing) override {}
-  void load_asked(int) override {}
-  void reported(int, std::string_view, double) override {}
-  void no_room() override {}
+  void connection_opened(int, double) override {}
+  void connection_closed(int, Closing) override {}
+  void load_requested(int) override {}
+  void load_reported(int, std::string_view, double) override {}
+  void connection_limit_reached() override {}
   std::vector<std::pair<int, Outcome>> ended;
 };
 
 // A pool with one node, on its own clock and loop.
 struct Sending {
   Sending(boost::asio::io_context& loop, const toy::tcp::endpoint& node) : context(loop) {
-    pool.locate(0, node, 0, false);
+    pool.set_node(0, node, 0, false);
   }
   void send(int leaf, double timeout, double by) {
     const auto id = "a." + std::to_string(leaf);
@@ -85,7 +85,7 @@
   DueTimes due;
   Ends ends;
   Log log{stderr, {false, spdlog::level::off, 16}};
-  Pool pool{context, due, {10, 1, 1, 15}, 10, log, ends};
+  ConnectionPool pool{context, due, {10, 1, 1, 15}, 10, log, ends};
 };
 
 constexpr auto kAnyTime = std::numeric_limits<double>::infinity();
--- a/tests/node_connection_test.cpp
+++ b/tests/node_connection_test.cpp
@@ -27,15 +27,15 @@
 
 const tcp::endpoint kLoopback(asio::ip::address_v4::loopback(), 0);
 
-struct Outcomes : Pool::Listener {
+struct Outcomes : ConnectionPool::Listener {
   void call_ended(const CallRef& ref, Outcome outcome, double, std::string_view) override {
     CHECK(by_query.emplace(ref.query, outcome).second);  // a call ends once
   }
-  void connected(int, double) override { ++connections; }
-  void disconnected(int, Closing) override {}
-  void load_asked(int) override {}
-  void reported(int, std::string_view, double) override {}
-  void no_room() override {}
+  void connection_opened(int, double) override { ++connections; }
+  void connection_closed(int, Closing) override {}
+  void load_requested(int) override {}
+  void load_reported(int, std::string_view, double) override {}
+  void connection_limit_reached() override {}
   std::map<long long, Outcome> by_query;
   int connections = 0;
 };
@@ -44,7 +44,7 @@
 // run_for and until.
 struct PoolWithNode {
   explicit PoolWithNode(double idle_timeout = 15) : limits{kManyParts, 1, 1, idle_timeout} {
-    pool.locate(0, acceptor.local_endpoint(), 0, false);
+    pool.set_node(0, acceptor.local_endpoint(), 0, false);
   }
   void send(long long query, std::string text, double timeout = 3, double by = kAnyTime) {
     const auto id = "q" + std::to_string(query) + ".0";
@@ -97,7 +97,7 @@
   Outcomes outcomes;
   Log log{stderr, {false, spdlog::level::off, 16}};
   NodeConnection::Limits limits;
-  Pool pool{context, due, limits, 10, log, outcomes};
+  ConnectionPool pool{context, due, limits, 10, log, outcomes};
 };
 
 void answer(tcp::socket& node, std::string_view id) {
@@ -175,7 +175,7 @@
   const std::string text(16 * 1024, 'x');
   constexpr int kQueries = 800;  // 13 MB, more than any socket buffer takes
   for (int query = 1; query <= kQueries; ++query) router.send(query, text);
-  for (int query = 1; query <= kQueries; ++query) router.pool.drop_unsent(query);
+  for (int query = 1; query <= kQueries; ++query) router.pool.cancel_unsent(query);
   const auto unsent = router.outcomes.by_query.size();
   REQUIRE(unsent > 0);
   for (const auto& [query, outcome] : router.outcomes.by_query) CHECK(outcome == Outcome::unsent);
@@ -213,16 +213,16 @@
   int sent = 0;
   for (; sent < 300; ++sent) router.send(1000 + sent, text);
   // Every call that the kernel has taken whole is answered; the cut one is what is left.
-  for (int i = 0; i < 300; ++i) router.pool.drop_unsent(1000 + i);
+  for (int i = 0; i < 300; ++i) router.pool.cancel_unsent(1000 + i);
   const auto unsent = static_cast<int>(router.outcomes.by_query.size()) - 1;
   REQUIRE(unsent > 0);
   const auto cut = 1000 + sent - unsent - 1;
   for (int i = 1000; i < cut; ++i) answer(node, "q" + std::to_string(i) + ".0");
   REQUIRE(router.until([&] { return router.ended(cut - 1); }));
-  router.pool.drop_unsent(cut);
+  router.pool.cancel_unsent(cut);
   REQUIRE(router.until([&] { return router.ended(cut); }));
   CHECK(router.outcomes.by_query[cut] == Outcome::unreachable);
-  CHECK(router.pool.connections() == 0);
+  CHECK(router.pool.connection_count() == 0);
 }
 
 TEST_CASE("what waits for a connection to a node that begins to drain, or goes, is taken back at once") {
@@ -230,15 +230,15 @@
   router.send(1, "text");
   router.send(2, "text");
   SUBCASE("draining") {
-    router.pool.locate(0, router.acceptor.local_endpoint(), 0, false);
+    router.pool.set_node(0, router.acceptor.local_endpoint(), 0, false);
   }
   SUBCASE("gone") {
-    router.pool.leave(0);
+    router.pool.retire_connections(0);
   }
   CHECK(router.outcomes.by_query[1] == Outcome::unsent);
   CHECK(router.outcomes.by_query[2] == Outcome::unsent);
   router.run_for(std::chrono::milliseconds(50));
-  CHECK(router.pool.connections() == 0);
+  CHECK(router.pool.connection_count() == 0);
   auto node = router.acceptor.accept();
   node.non_blocking(true);
   char byte = 0;
