--- a/src/commands/timeline.cpp
+++ b/src/commands/timeline.cpp
@@ -40,7 +40,7 @@
 // The body that a running router answers with.
 std::string fetch(const std::string& router, const std::string& target) {
   namespace asio = boost::asio;
-  const auto at = read_endpoint(router);
+  const auto at = parse_endpoint(router);
   if (!at) throw std::runtime_error("--router " + router + ": expected HOST:PORT as numbers");
   asio::io_context context;
   asio::ip::tcp::socket socket(context);
--- a/src/discovery/list.cpp
+++ b/src/discovery/list.cpp
@@ -18,22 +18,23 @@
   Member member;
   member.id = text_field(*object, "id");
   const auto state = text_field(*object, "state");
-  member.gone = state == "gone";
+  member.removed = state == "gone";
   member.up = state == "ready";
-  if (!member.gone && !member.up && state != "draining") complain("state", state);
+  if (!member.removed && !member.up && state != "draining") complain("state", state);
   const auto addr = text_field(*object, "addr");
-  const auto at = read_endpoint(addr);
+  const auto at = parse_endpoint(addr);
   if (!at) complain("addr", addr);
-  member.at = *at;
+  member.endpoint = *at;
   member.zone = text_field(*object, "zone");
   member.cell = number_field<int>(*object, "cell", 0, static_cast<int>(kLargestIndex));
-  member.started = {number_field<double>(*object, "started_ms", 0, std::numeric_limits<double>::max()) / 1e3};
+  member.started_at = {number_field<double>(*object, "started_ms", 0, std::numeric_limits<double>::max()) /
+                       1e3};
   return member;
 }
 
 }  // namespace
 
-std::optional<boost::asio::ip::tcp::endpoint> read_endpoint(std::string_view text) {
+std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view text) {
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
   boost::system::error_code error;
@@ -45,7 +46,7 @@
   return boost::asio::ip::tcp::endpoint(address, port);
 }
 
-MemberList read_list(const json::object& object) {
+MemberList parse_member_list(const json::object& object) {
   MemberList list;
   list.version = number_field<long long>(object, "version", 0, std::numeric_limits<long long>::max());
   const auto* full = field(object, "full").if_bool();
@@ -56,8 +57,8 @@
   return list;
 }
 
-MemberList read_list(std::string_view text) {
-  return read_list(parse_object(text, "the list"));
+MemberList parse_member_list(std::string_view text) {
+  return parse_member_list(parse_object(text, "the list"));
 }
 
 }  // namespace yoketurn
--- a/src/discovery/list.hpp
+++ b/src/discovery/list.hpp
@@ -14,12 +14,12 @@
 
 struct Member {
   std::string id;
-  boost::asio::ip::tcp::endpoint at;
+  boost::asio::ip::tcp::endpoint endpoint;
   std::string zone;
   int cell = 0;
   bool up = false;
-  bool gone = false;
-  WallTime started;  // 0: long ago
+  bool removed = false;
+  WallTime started_at;  // 0: long ago
 };
 
 struct MemberList {
@@ -29,10 +29,10 @@
 };
 
 // Throws Malformed on what makes no sense; what it does not know it leaves out of account.
-MemberList read_list(const boost::json::object& object);
-MemberList read_list(std::string_view text);
+MemberList parse_member_list(const boost::json::object& object);
+MemberList parse_member_list(std::string_view text);
 
 // host:port, as numbers.
-std::optional<boost::asio::ip::tcp::endpoint> read_endpoint(std::string_view text);
+std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace yoketurn
--- a/src/discovery/member_table.cpp
+++ b/src/discovery/member_table.cpp
@@ -10,7 +10,7 @@
     places_.clear();
   }
   list_.version = list.version;
-  for (const auto& member : list.members) member.gone ? remove(member.id) : put(member);
+  for (const auto& member : list.members) member.removed ? remove(member.id) : put(member);
 }
 
 void MemberTable::put(const Member& member) {
--- a/src/discovery/node_ages.hpp
+++ b/src/discovery/node_ages.hpp
@@ -24,16 +24,16 @@
 
 class NodeAges {
  public:
-  static constexpr double kLongestNotice = 10;      // from a node's start until discovery tells it
-  static constexpr double kLargestStep = 3600;      // of a wall clock
-  static constexpr std::size_t kRemembered = 1024;  // nodes that have left and may come back unchanged
+  static constexpr double kMaxAnnouncementDelaySeconds = 10;  // from a node's start until discovery tells it
+  static constexpr double kMaxClockStepSeconds = 3600;        // of a wall clock
+  static constexpr std::size_t kMaxRemovedNodes = 1024;  // nodes that have left and may come back unchanged
 
   explicit NodeAges(double slow_start) : slow_start_(slow_start) {}
 
   // When the process of this node that started at this wall time did so on the monotonic clock; 0: long ago.
-  double born(const std::string& id, WallTime started, double now, WallTime wall_now);
-  void heard(double now) { last_word_ = now; }  // anything from discovery that is followed
-  void left(const std::string& id);             // no node of this name is listed any more
+  double started_at(const std::string& id, WallTime started, double now, WallTime wall_now);
+  void record_discovery_contact(double now) { last_word_ = now; }  // anything from discovery that is followed
+  void node_removed(const std::string& id);                        // no node of this name is listed any more
 
  private:
   struct Known {
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-struct Watch::Connection : std::enable_shared_from_this<Watch::Connection> {
-  Connection(asio::io_context& context, Watch& owner) : socket(context), watch(&owner) {
+struct DiscoveryWatch::Connection : std::enable_shared_from_this<DiscoveryWatch::Connection> {
+  Connection(asio::io_context& context, DiscoveryWatch& owner) : socket(context), watch(&owner) {
     parser.body_limit(boost::none);
     parser.eager(true);
   }
@@ -120,7 +120,7 @@
   }
 
   asio::ip::tcp::socket socket;
-  Watch* watch;  // null: no longer wanted
+  DiscoveryWatch* watch;  // null: no longer wanted
   std::string request;
   Ring ring{kRing};
   http::response_parser<http::string_body> parser;
@@ -128,8 +128,8 @@
   std::size_t list_size = 0;        // its bytes so far
 };
 
-Watch::Watch(asio::io_context& context, DueTimes& due, const asio::ip::tcp::endpoint& agent, Log& log,
-             Listener& listener)
+DiscoveryWatch::DiscoveryWatch(asio::io_context& context, DueTimes& due, const asio::ip::tcp::endpoint& agent,
+                               Log& log, Listener& listener)
     : context_(context),
       due_(due),
       agent_(agent),
@@ -137,18 +137,18 @@
       listener_(listener),
       due_key_(due.fresh_key()) {}
 
-Watch::~Watch() {
+DiscoveryWatch::~DiscoveryWatch() {
   if (connection_) connection_->watch = nullptr;
 }
 
-void Watch::start(std::optional<long long> known_version) {
+void DiscoveryWatch::start(std::optional<long long> known_version) {
   version_ = known_version;
   open();
 }
 
 // Another agent may count its versions otherwise: its whole list is asked for, which then takes the place of
 // the one that is held.
-void Watch::follow(const asio::ip::tcp::endpoint& agent) {
+void DiscoveryWatch::switch_to(const asio::ip::tcp::endpoint& agent) {
   drop();
   agent_ = agent;
   version_.reset();
@@ -157,12 +157,12 @@
   open();
 }
 
-bool Watch::unread() const {
+bool DiscoveryWatch::has_unread_data() const {
   boost::system::error_code closed;
   return connection_ && connection_->socket.available(closed) > 0 && !closed;
 }
 
-void Watch::open() {
+void DiscoveryWatch::open() {
   opened_at_ = now();
   heard_anything_ = false;
   connection_ = std::make_shared<Connection>(context_, *this);
@@ -173,23 +173,23 @@
   await_word(by_failures(kFirstWordWithin, failures_));
 }
 
-void Watch::await_word(double patience) {
+void DiscoveryWatch::await_word(double patience) {
   due_.set(due_key_, now() + patience, [this](double) {
-    if (unread()) return await_word(kReadsFirst);  // the router is behind, not discovery
+    if (has_unread_data()) return await_word(kReadsFirst);  // the router is behind, not discovery
     lost("silence");
   });
 }
 
-void Watch::heard() {
+void DiscoveryWatch::heard() {
   heard_anything_ = true;
   await_word(kSilence);
-  listener_.watch_heard();
+  listener_.watch_data_received();
 }
 
-void Watch::take_list(const boost::json::value& value) {
+void DiscoveryWatch::take_list(const boost::json::value& value) {
   try {
     if (!value.is_object()) throw Malformed("the list is no JSON object");
-    const auto list = read_list(value.get_object());
+    const auto list = parse_member_list(value.get_object());
     const auto* const from = connection_.get();
     take(list);
     if (connection_.get() == from) heard();  // it was not left for another
@@ -198,23 +198,24 @@
   }
 }
 
-void Watch::take(const MemberList& list) {
-  if (!list.full && version_ && list.version <= *version_) return listener_.passed_over(list);  // known
-  if (!list.full && nonsense_) return;  // changes to a list that has a gap
+void DiscoveryWatch::take(const MemberList& list) {
+  if (!list.full && version_ && list.version <= *version_)
+    return listener_.stale_list_received(list);  // known
+  if (!list.full && nonsense_) return;           // changes to a list that has a gap
   nonsense_ = false;
   version_ = list.version;
-  listener_.listed(list);
+  listener_.list_received(list);
 }
 
-void Watch::unusable(std::string_view why) {
+void DiscoveryWatch::unusable(std::string_view why) {
   log_.line("list_unusable", "why=\"{}\"", why);
   nonsense_ = true;
   version_.reset();
-  listener_.unusable();
+  listener_.list_unusable();
   lost("nonsense");
 }
 
-void Watch::drop() {
+void DiscoveryWatch::drop() {
   if (!connection_) return;
   connection_->watch = nullptr;
   boost::system::error_code ignored;
@@ -222,7 +223,7 @@
   connection_.reset();
 }
 
-void Watch::lost(std::string_view why) {
+void DiscoveryWatch::lost(std::string_view why) {
   drop();
   log_.line("watch_lost", "why=\"{}\" version={}", why, version_.value_or(-1));
   listener_.watch_lost();
--- a/src/discovery/watch.hpp
+++ b/src/discovery/watch.hpp
@@ -20,26 +20,26 @@
 
 namespace yoketurn {
 
-class Watch {
+class DiscoveryWatch {
  public:
   class Listener {
    public:
     virtual ~Listener() = default;
-    virtual void listed(const MemberList& list) = 0;
+    virtual void list_received(const MemberList& list) = 0;
     virtual void watch_lost() = 0;
-    virtual void watch_heard() = 0;                        // anything, be it a heartbeat
-    virtual void passed_over(const MemberList& list) = 0;  // its count is not above the one held
-    virtual void unusable() = 0;                           // a list that could not be read
+    virtual void watch_data_received() = 0;                        // anything, be it a heartbeat
+    virtual void stale_list_received(const MemberList& list) = 0;  // its count is not above the one held
+    virtual void list_unusable() = 0;                              // a list that could not be read
   };
 
-  Watch(boost::asio::io_context& context, DueTimes& due, const boost::asio::ip::tcp::endpoint& agent,
-        Log& log, Listener& listener);
-  ~Watch();
+  DiscoveryWatch(boost::asio::io_context& context, DueTimes& due, const boost::asio::ip::tcp::endpoint& agent,
+                 Log& log, Listener& listener);
+  ~DiscoveryWatch();
 
   void start(std::optional<long long> known_version);
-  void follow(const boost::asio::ip::tcp::endpoint& agent);  // in place of the one before, at once
-  void ask_again() { follow(agent_); }                       // the whole list, on a new connection
-  bool unread() const;                                       // whether words lie there that were not read yet
+  void switch_to(const boost::asio::ip::tcp::endpoint& agent);  // in place of the one before, at once
+  void request_full_list() { switch_to(agent_); }               // the whole list, on a new connection
+  bool has_unread_data() const;  // whether words lie there that were not read yet
 
  private:
   struct Connection;
--- a/src/fleet/roll.cpp
+++ b/src/fleet/roll.cpp
@@ -108,7 +108,7 @@
              {{"site", to(entry.site)},
               {"reader",
                [&](const std::string& place, const std::string& word) {
-                 entry.reader = read_endpoint(word);
+                 entry.reader = parse_endpoint(word);
                  if (!entry.reader) throw BadRoll(place + ": '" + word + "' where host:port is expected");
                }},
               {"log", to(entry.log)},
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -132,7 +132,7 @@
 int plan(const Options& o) {
   const auto config = load_config(o.config);
   auto list = config.known;
-  if (!o.list.empty()) list = read_list(content_of(o.list));
+  if (!o.list.empty()) list = parse_member_list(content_of(o.list));
   const auto zones = index(config.zones);
   PlannedTown town;
   town.sites = static_cast<int>(zones.size());
--- a/src/router/config.cpp
+++ b/src/router/config.cpp
@@ -20,7 +20,7 @@
 
 boost::asio::ip::tcp::endpoint endpoint(const boost::json::object& object, std::string_view name) {
   const auto text = text_field(object, name);
-  const auto at = read_endpoint(text);
+  const auto at = parse_endpoint(text);
   if (!at) complain(name, text);
   return *at;
 }
@@ -40,7 +40,7 @@
       object_field(object, "limits"), "sockets", kFewestSockets, std::numeric_limits<int>::max()));
   if (const auto& limits = object_field(object, "limits"); limits.contains("memory_mb"))
     config.memory = static_cast<std::size_t>(number_field<double>(limits, "memory_mb", 1, 1e7) * 1024 * 1024);
-  config.known = read_list(object_field(object, "known"));
+  config.known = parse_member_list(object_field(object, "known"));
   config.setup = pairs(object_field(object, "settings"));
   check_shape(config.setup);
   config.settings = settings(config.setup);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -118,10 +118,10 @@
       still_(kReadsFirstAfter),
       node_ages_(config.settings.cold_time),
       standing_({config.name, site_of(config), config.verticals}, config.seed, now(), unix_at_zero_, log,
-                {[this] { watch_.ask_again(); }, [this] { reload(); },
+                {[this] { watch_.request_full_list(); }, [this] { reload(); },
                  [this](const asio::ip::tcp::endpoint& at) {
                    discovery_now_ = at;
-                   watch_.follow(at);
+                   watch_.switch_to(at);
                  }}),
       discovery_now_(config.discovery),
       queries_(config.settings, config.seed, now(), due_, *this),
@@ -156,7 +156,7 @@
   clients_.open(config_.listen);
   log_.line("phase", "name={} router={} listen={}:{}", name(phase_), config_.name,
             config_.listen.address().to_string(), config_.listen.port());
-  listed(config_.known);
+  list_received(config_.known);
   watch_.start(config_.known.version);
   next_tick_ = now();
   figures_at_ = next_tick_ + kFigures;
@@ -200,7 +200,7 @@
     if (kept.empty()) standing_.file(Subject::configuration, fresh.hash, config_.path, now());
     if (fresh.discovery == config_.discovery) return;
     config_.discovery = discovery_now_ = fresh.discovery;
-    watch_.follow(fresh.discovery);
+    watch_.switch_to(fresh.discovery);
   } catch (const std::exception& error) {
     standing_.versions().kept(true, now());
     log_.line("reload_failed", "why=\"{}\"", error.what());
@@ -241,7 +241,7 @@
                     operators.timeline.lines == before.timeline.lines &&
                     operators.departures == before.departures;
   const auto at = operators.timeline.on && !operators.timeline.listen.empty()
-                      ? read_endpoint(operators.timeline.listen)
+                      ? parse_endpoint(operators.timeline.listen)
                       : std::nullopt;
   if (operators.timeline.on && !operators.timeline.listen.empty() && !at)
     throw Malformed("timeline.listen can't be read");
@@ -304,10 +304,10 @@
 void Router::begin_lines(double at) {
   for (const auto& member : members_.list().members) {
     const auto node = nodes_.find(member.id);
-    if (node == nodes_.end() || member.gone) continue;
+    if (node == nodes_.end() || member.removed) continue;
     recorder_->listed(node->second, member.id,
-                      fmt::format("{}:{}", member.at.address().to_string(), member.at.port()), member.up,
-                      born(member), members_.list().version, at);
+                      fmt::format("{}:{}", member.endpoint.address().to_string(), member.endpoint.port()),
+                      member.up, born(member), members_.list().version, at);
   }
 }
 
@@ -505,7 +505,7 @@
 }
 
 bool Router::reads_first(double at) {
-  return still_.holds(at, [this] { return watch_.unread(); });
+  return still_.holds(at, [this] { return watch_.has_unread_data(); });
 }
 
 void Router::arm() {
@@ -726,14 +726,14 @@
 
 // --- discovery
 
-void Router::listed(const MemberList& list) {
+void Router::list_received(const MemberList& list) {
   members_.apply(list);
   standing_.listed(members_.list(), list.full, text_of(discovery_now_), now());
   std::vector<Host> hosts;
   std::set<int> present;
   std::size_t ready = 0;
   for (const auto& member : list.members) {
-    if (member.gone && !nodes_.contains(member.id)) continue;
+    if (member.removed && !nodes_.contains(member.id)) continue;
     const auto node = number_of(member.id);
     if (node == kNone) {
       log_.line("node_unknown", "id={} known={}", member.id, nodes_.size());
@@ -744,18 +744,18 @@
     present.insert(node);
     standing_.member(node, member);
     if (recorder_) {
-      if (member.gone)
+      if (member.removed)
         recorder_->left(node, list.version, now());
       else
         recorder_->listed(node, member.id,
-                          fmt::format("{}:{}", member.at.address().to_string(), member.at.port()), member.up,
-                          started, list.version, now());
+                          fmt::format("{}:{}", member.endpoint.address().to_string(), member.endpoint.port()),
+                          member.up, started, list.version, now());
     }
-    if (member.gone) {
+    if (member.removed) {
       pool_.retire_connections(node);
       leaving_.emplace(member.id, node);
     } else {
-      pool_.set_node(node, member.at, started, member.up);
+      pool_.set_node(node, member.endpoint, started, member.up);
       leaving_.erase(member.id);
     }
     if (member.up) ++ready;
@@ -774,7 +774,7 @@
 }
 
 double Router::born(const Member& member) {
-  return node_ages_.born(member.id, member.started, now(), WallTime::now());
+  return node_ages_.started_at(member.id, member.started_at, now(), WallTime::now());
 }
 
 int Router::number_of(const std::string& node) {
@@ -798,7 +798,7 @@
     queries_.forget_node(gone.second);
     if (recorder_) recorder_->forgotten(gone.second, now());
     spare_.push_back(gone.second);
-    node_ages_.left(gone.first);
+    node_ages_.node_removed(gone.first);
     nodes_.erase(gone.first);
     return true;
   });
@@ -809,25 +809,25 @@
   queries_.list_failed(now());
 }
 
-void Router::watch_heard() {
-  node_ages_.heard(now());
+void Router::watch_data_received() {
+  node_ages_.record_discovery_contact(now());
   standing_.versions().heard(now());
 }
 
 // What merely comes again says nothing. A count that has begun anew says that all that is held may be of
 // another list: without asking for the whole one every further change would be passed over, unheard, until
 // the count had caught up, and a node drained meanwhile sent to for minutes.
-void Router::passed_over(const MemberList& list) {
+void Router::stale_list_received(const MemberList& list) {
   if (list.members.empty() || list.version >= members_.list().version) return;
   const auto at = now();
   standing_.versions().passed_over(list.version, at);
   if (at < ask_again_at_) return;
   ask_again_at_ = at + kAskAgain;
   log_.line("list_again", "count={} held={}", list.version, members_.list().version);
-  watch_.ask_again();
+  watch_.request_full_list();
 }
 
-void Router::unusable() {
+void Router::list_unusable() {
   standing_.versions().unusable(now());
 }
 
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -34,7 +34,7 @@
 class Router : private Actions,
                private ConnectionPool::Listener,
                private Listener::Asker,
-               private Watch::Listener {
+               private DiscoveryWatch::Listener {
  public:
   // starting: not yet a node to send to. serving. draining: told to stop; goes on answering on the
   // connections it has, then closes them and answers what it holds. stopped: owes nothing.
@@ -105,12 +105,12 @@
   void door(What what, std::uint8_t why, int connection, std::uint32_t address, double a, double b) override;
   void asked(int connection, const ClientConnection::Request& request) override;
   void left(int connection) override;
-  void listed(const MemberList& list) override;
+  void list_received(const MemberList& list) override;
   double born(const Member& member);
   void watch_lost() override;
-  void watch_heard() override;
-  void passed_over(const MemberList& list) override;
-  void unusable() override;
+  void watch_data_received() override;
+  void stale_list_received(const MemberList& list) override;
+  void list_unusable() override;
   int number_of(const std::string& node);  // kNone: there is no room for it
   void let_go();
 
@@ -187,7 +187,7 @@
   Queries queries_;
   ConnectionPool pool_;
   yoketurn::Listener clients_;
-  Watch watch_;
+  DiscoveryWatch watch_;
   std::unique_ptr<TimelineServer> server_;
   boost::asio::steady_timer tick_timer_, due_timer_;
   boost::asio::signal_set signals_;
--- a/src/router/standing.cpp
+++ b/src/router/standing.cpp
@@ -34,10 +34,10 @@
     entry.assign(m.id);
     entry += '\0';
     entry += m.zone;
-    char figures[sizeof m.cell + sizeof m.started.unix_seconds + 1];
+    char figures[sizeof m.cell + sizeof m.started_at.unix_seconds + 1];
     std::memcpy(figures, &m.cell, sizeof m.cell);
-    std::memcpy(figures + sizeof m.cell, &m.started.unix_seconds, sizeof m.started.unix_seconds);
-    figures[sizeof figures - 1] = static_cast<char>(m.gone ? 2 : m.up ? 1 : 0);
+    std::memcpy(figures + sizeof m.cell, &m.started_at.unix_seconds, sizeof m.started_at.unix_seconds);
+    figures[sizeof figures - 1] = static_cast<char>(m.removed ? 2 : m.up ? 1 : 0);
     entry.append(figures, sizeof figures);
     sum += XXH3_64bits(entry.data(), entry.size());
   }
@@ -173,7 +173,7 @@
     case Step::read_again:
       return hands_.read_again();
     case Step::follow:
-      if (const auto at = read_endpoint(service_.last().agent)) hands_.follow(*at);
+      if (const auto at = parse_endpoint(service_.last().agent)) hands_.follow(*at);
       return;
     default:  // held by the service
       return;
--- a/tests/member_table_test.cpp
+++ b/tests/member_table_test.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-Member member(const std::string& id, int cell, bool gone = false) {
+Member member(const std::string& id, int cell, bool removed = false) {
   Member result;
   result.id = id;
   result.cell = cell;
-  result.gone = gone;
+  result.removed = removed;
   return result;
 }
 
@@ -41,9 +41,9 @@
     for (int i = 0; i < 20; ++i) {
       const auto id = std::to_string(random() % 40);
       const auto cell = static_cast<int>(random() % 8);
-      const auto gone = random() % 3 == 0;
-      list.members.push_back(member(id, cell, gone));
-      gone ? void(expected.erase(id)) : void(expected[id] = cell);
+      const auto removed = random() % 3 == 0;
+      list.members.push_back(member(id, cell, removed));
+      removed ? void(expected.erase(id)) : void(expected[id] = cell);
     }
     table.apply(list);
     REQUIRE(cells(table) == expected);
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -196,14 +196,14 @@
 TEST_CASE("lists that make no sense are told, and what is unknown in one is left out of account") {
   const auto at = toy::tcp::endpoint(boost::asio::ip::address_v4::loopback(), 8081);
   const auto good = toy::Discovery::list(41, false, {toy::Discovery::entry("s-1", at, 3, "draining")});
-  const auto list = read_list(good);
+  const auto list = parse_member_list(good);
   CHECK(list.version == 41);
   CHECK(!list.full);
   REQUIRE(list.members.size() == 1);
-  CHECK(list.members[0].at == at);
+  CHECK(list.members[0].endpoint == at);
   CHECK(list.members[0].cell == 3);
   CHECK(!list.members[0].up);
-  CHECK(!list.members[0].gone);
+  CHECK(!list.members[0].removed);
   const std::pair<const char*, const char*> wrong[] = {
       {"draining", "asleep"},
       {"127.0.0.1:8081", "nowhere"},
@@ -220,7 +220,7 @@
     CAPTURE(to);
     auto bad = good;
     bad.replace(bad.find(from), std::string(from).size(), to);
-    CHECK_THROWS_AS(read_list(bad), Malformed);
+    CHECK_THROWS_AS(parse_member_list(bad), Malformed);
   }
 }
 
--- a/tests/node_ages_test.cpp
+++ b/tests/node_ages_test.cpp
@@ -45,8 +45,8 @@
   for (const auto& row : rows) {
     CAPTURE(row.what);
     NodeAges ages(kSlowStart);
-    ages.heard(kNow - row.last_word);
-    CHECK(ages.born("a", ago(row.started), kNow, stepped(row.step)) == doctest::Approx(kNow - row.age));
+    ages.record_discovery_contact(kNow - row.last_word);
+    CHECK(ages.started_at("a", ago(row.started), kNow, stepped(row.step)) == doctest::Approx(kNow - row.age));
   }
 }
 
@@ -69,41 +69,41 @@
     CAPTURE(row.started);
     CAPTURE(row.step);
     NodeAges ages(kSlowStart);
-    CHECK(ages.born("a", ago(row.started), kNow, stepped(row.step)) == doctest::Approx(kNow - row.age));
+    CHECK(ages.started_at("a", ago(row.started), kNow, stepped(row.step)) == doctest::Approx(kNow - row.age));
   }
 }
 
 TEST_CASE(
     "what was learned of a process stays after a step, and while its node is away; a new process is new") {
   NodeAges ages(kSlowStart);
-  CHECK(ages.born("old", {}, kNow, kWallNow) == 0);
-  ages.heard(kNow);
-  const auto born = ages.born("a", ago(2), kNow, kWallNow);
+  CHECK(ages.started_at("old", {}, kNow, kWallNow) == 0);
+  ages.record_discovery_contact(kNow);
+  const auto born = ages.started_at("a", ago(2), kNow, kWallNow);
   CHECK(born == doctest::Approx(kNow - 2));
-  CHECK(ages.born("a", ago(2), kNow + 20, stepped(-3580)) == born);
-  ages.left("a");
-  CHECK(ages.born("a", ago(2), kNow + 500, stepped(4100)) == born);
-  ages.heard(kNow + 500);
-  CHECK(ages.born("a", ago(-499), kNow + 501, stepped(501)) == doctest::Approx(kNow + 499));
+  CHECK(ages.started_at("a", ago(2), kNow + 20, stepped(-3580)) == born);
+  ages.node_removed("a");
+  CHECK(ages.started_at("a", ago(2), kNow + 500, stepped(4100)) == born);
+  ages.record_discovery_contact(kNow + 500);
+  CHECK(ages.started_at("a", ago(-499), kNow + 501, stepped(501)) == doctest::Approx(kNow + 499));
 }
 
 TEST_CASE("of nodes that have left so many are remembered and no more") {
   NodeAges ages(kSlowStart);
-  ages.heard(kNow);
-  const auto first = ages.born("0", ago(2), kNow, kWallNow);
-  ages.left("0");
-  for (std::size_t i = 1; i < NodeAges::kRemembered; ++i) {
-    ages.born(std::to_string(i), ago(2), kNow, kWallNow);
-    ages.left(std::to_string(i));
+  ages.record_discovery_contact(kNow);
+  const auto first = ages.started_at("0", ago(2), kNow, kWallNow);
+  ages.node_removed("0");
+  for (std::size_t i = 1; i < NodeAges::kMaxRemovedNodes; ++i) {
+    ages.started_at(std::to_string(i), ago(2), kNow, kWallNow);
+    ages.node_removed(std::to_string(i));
   }
-  CHECK(ages.born("0", ago(2), kNow + 100, stepped(100)) == first);
-  ages.left("0");
-  for (std::size_t i = 0; i <= 2 * NodeAges::kRemembered; ++i) {
-    ages.born("more" + std::to_string(i), ago(2), kNow, kWallNow);
-    ages.left("more" + std::to_string(i));
+  CHECK(ages.started_at("0", ago(2), kNow + 100, stepped(100)) == first);
+  ages.node_removed("0");
+  for (std::size_t i = 0; i <= 2 * NodeAges::kMaxRemovedNodes; ++i) {
+    ages.started_at("more" + std::to_string(i), ago(2), kNow, kWallNow);
+    ages.node_removed("more" + std::to_string(i));
   }
-  ages.heard(kNow + 100);
-  CHECK(ages.born("0", ago(2), kNow + 100, stepped(100)) == kNow + 100);  // learned anew, as one of now
+  ages.record_discovery_contact(kNow + 100);
+  CHECK(ages.started_at("0", ago(2), kNow + 100, stepped(100)) == kNow + 100);  // learned anew, as one of now
 }
 
 TEST_SUITE_END();
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -175,12 +175,12 @@
     change(list[0]);
     return content_hash(std::span<const Member>(list));
   };
-  CHECK(altered([](Member& m) { m.at = *read_endpoint("127.0.0.1:9"); }) == hash);
+  CHECK(altered([](Member& m) { m.endpoint = *parse_endpoint("127.0.0.1:9"); }) == hash);
   CHECK(altered([](Member& m) { m.up = false; }) != hash);
   CHECK(altered([](Member& m) { m.id = "s-3"; }) != hash);
   CHECK(altered([](Member& m) { m.zone = "z"; }) != hash);
   CHECK(altered([](Member& m) { m.cell = 3; }) != hash);
-  CHECK(altered([](Member& m) { m.started = {6}; }) != hash);
+  CHECK(altered([](Member& m) { m.started_at = {6}; }) != hash);
 }
 
 TEST_CASE("told versions are read as they were told") {
