--- a/src/fleet/audit.cpp
+++ b/src/fleet/audit.cpp
@@ -263,7 +263,7 @@
   }
   asio::steady_timer sums(context);
   std::function<void()> sum = [&] {
-    log.sum_up(unix_now());
+    log.write_summaries(unix_now());
     sums.expires_after(std::chrono::seconds(1));
     sums.async_wait([&](const auto& error) {
       if (!error) sum();
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -123,18 +123,18 @@
   return result;
 }
 
-Log::Log(std::FILE* to, const Form& form)
-    : sink_(std::make_shared<LineSink>(to, form.queue)),
+Log::Log(std::FILE* to, const Options& options)
+    : sink_(std::make_shared<LineSink>(to, options.max_queued_bytes)),
       logger_(std::make_unique<spdlog::logger>("", sink_)) {
-  shape(form);
+  configure(options);
 }
 
 Log::~Log() = default;
 
-void Log::shape(const Form& form) {
-  json_ = form.json;
-  sink_->bound(form.queue);
-  logger_->set_level(form.level);
+void Log::configure(const Options& options) {
+  json_ = options.json;
+  sink_->bound(options.max_queued_bytes);
+  logger_->set_level(options.level);
   logger_->set_pattern(json_ ? R"({"at":%E.%e,"level":"%l",%v})" : "%E.%e %v");
 }
 
@@ -166,7 +166,7 @@
   logger_->log(level_of(event), spdlog::string_view_t(shown));
 }
 
-void Log::sum_up(double now) {
+void Log::write_summaries(double now) {
   sink_->flush();
   if (now < summed_ + 1) return;
   summed_ = now;
@@ -181,11 +181,11 @@
   }
 }
 
-long long Log::lost() const {
+long long Log::dropped_lines() const {
   return sink_->lost();
 }
 
-std::size_t Log::waiting() const {
+std::size_t Log::queued_bytes() const {
   return sink_->waiting();
 }
 
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -17,26 +17,26 @@
 
 class Log {
  public:
-  struct Form {
+  struct Options {
     bool json = false;
     spdlog::level::level_enum level = spdlog::level::info;
-    std::size_t queue = 256 * 1024;  // bytes
+    std::size_t max_queued_bytes = 256 * 1024;  // bytes
   };
 
-  explicit Log(std::FILE* to) : Log(to, Form{}) {}
-  Log(std::FILE* to, const Form& form);
+  explicit Log(std::FILE* to) : Log(to, Options{}) {}
+  Log(std::FILE* to, const Options& options);
   ~Log();
 
-  void shape(const Form& form);  // from the next line on
+  void configure(const Options& options);  // from the next line on
 
   // The event is a literal; the values follow as name=value.
   template <class... Values>
   void line(std::string_view event, fmt::format_string<Values...> values, Values&&... args) {
     if (wanted(event)) write(event, values, fmt::make_format_args(args...));
   }
-  void sum_up(double now);      // tells what was held back; called about once a second
-  long long lost() const;       // lines, for want of room
-  std::size_t waiting() const;  // bytes
+  void write_summaries(double now);  // tells what was held back; called about once a second
+  long long dropped_lines() const;   // lines, for want of room
+  std::size_t queued_bytes() const;  // bytes
 
  private:
   struct Count {
@@ -47,7 +47,7 @@
   bool wanted(std::string_view event);  // and counts it
   void write(std::string_view event, fmt::string_view values, fmt::format_args args);
 
-  static constexpr int kLines = 20;              // of one event between two calls of sum_up
+  static constexpr int kLines = 20;              // of one event between two calls of write_summaries
   static constexpr std::size_t kLongest = 1024;  // of a line's values
   std::shared_ptr<LineSink> sink_;
   std::unique_ptr<spdlog::logger> logger_;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -40,7 +40,7 @@
   return (config.sockets - other_sockets(config)) / kNodeShare;
 }
 
-Log::Form log_form(const Operators& operators) {
+Log::Options log_form(const Operators& operators) {
   return {operators.log.json, spdlog::level::from_str(operators.log.level), operators.log.queue};
 }
 
@@ -144,7 +144,7 @@
   signals_.add(SIGTERM);
   signals_.add(SIGHUP);
   await_signal();
-  log_.shape(log_form(config_.operators));
+  log_.configure(log_form(config_.operators));
   standing_.changed = [this](Subject subject) {
     if (recorder_)
       recorder_->version(subject, standing_.versions().version(subject), standing_.versions().number(),
@@ -318,7 +318,7 @@
     const auto fresh = load_operators(config_.operators_path, config_.memory);
     watch_over(fresh);
     standing_.file(Subject::operators, fresh.hash, config_.operators_path, now());
-    log_.shape(log_form(fresh));
+    log_.configure(log_form(fresh));
     log_.line("operators_reloaded", "path=\"{}\"", config_.operators_path);
     return true;
   } catch (const BadOperators& bad) {
@@ -347,7 +347,7 @@
     before = now_at;
   };
   bound(Bound::judged, queries_.unjudged(), unjudged_);
-  bound(Bound::log, log_.lost(), lines_lost_);
+  bound(Bound::log, log_.dropped_lines(), lines_lost_);
   for (const auto& [id, node] : nodes_) recorder_->believed(node, queries_.belief(node, at), at);
   if (segments_ && segments_->failures() > disk_failures_) {
     disk_failures_ = segments_->failures();
@@ -459,7 +459,7 @@
     queries_.tick(at);  // the list is always followed: it need not be asked for
     tell_sites();
     tell_standing(at);
-    log_.sum_up(at);
+    log_.write_summaries(at);
     tell_figures(at);
     turn();
     let_go();
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -274,7 +274,7 @@
   Log log(file);
   log.line("odd", "why=\"{}\"", "a\nb" + std::string(100000, 'x'));
   for (int i = 0; i < 1000; ++i) log.line("flood", "n={}", i);
-  log.sum_up(10);
+  log.write_summaries(10);
   std::fclose(file);
   const std::string said(text, size);
   std::free(text);
--- a/tests/timeline_test.cpp
+++ b/tests/timeline_test.cpp
@@ -341,16 +341,16 @@
     Log log(to, {false, spdlog::level::info, 8192});
     for (int i = 0; i < 60; ++i) {
       for (int j = 0; j < 10; ++j) log.line("event", "n={} pad=\"{:800}\"", i, "");
-      log.sum_up(2.0 * i);
+      log.write_summaries(2.0 * i);
     }
-    CHECK(log.waiting() <= 8192);
-    CHECK(log.lost() > 0);
+    CHECK(log.queued_bytes() <= 8192);
+    CHECK(log.dropped_lines() > 0);
     char piece[65536];
     for (int i = 0; i < 8; ++i) {
       got.append(piece,
                  static_cast<std::size_t>(std::max<ssize_t>(::read(pipe_ends[0], piece, sizeof piece), 0)));
-      log.sum_up(1000 + 2.0 * i);
-      if (log.waiting() == 0 && i > 3) break;
+      log.write_summaries(1000 + 2.0 * i);
+      if (log.queued_bytes() == 0 && i > 3) break;
     }
   }
   std::fclose(to);
