--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -15,31 +15,32 @@
 
 namespace {
 
-constexpr double kLoadPatience = 2;           // until a node that sent no load report is asked again
-constexpr std::size_t kMostReads = 16;        // of one connection before other work goes on
-constexpr std::size_t kMostLastReads = 1024;  // of what lies in a socket that can't be written any more
+constexpr double kLoadReportTimeoutSeconds = 2;  // a report that is still missing is then requested again
+constexpr std::size_t kMaxReadsPerTurn = 16;  // of one connection, before the event loop goes on with others
+constexpr std::size_t kMaxFinalReads = 1024;  // of what a socket still holds after a write to it has failed
 
 }  // namespace
 
-NodeConnection::NodeConnection(asio::io_context& context, DueTimes& due, const Limits& limits, Owner& owner,
-                               int node)
+NodeConnection::NodeConnection(asio::io_context& context, DueTimes& timers, const Limits& limits,
+                               Owner& owner, int node)
     : socket_(context),
-      due_(due),
+      timers_(timers),
       limits_(limits),
       owner_(owner),
       node_(node),
-      due_key_(due.fresh_key()),
-      in_(kMaxFrameBytes),
-      outgoing_(kMaxFrameBytes * limits.parts_a_call) {}
+      timer_key_(timers.fresh_key()),
+      receive_buffer_(kMaxFrameBytes),
+      send_buffer_(kMaxFrameBytes * limits.max_parts_per_call) {}
 
-void NodeConnection::open(const asio::ip::tcp::endpoint& at) {
+void NodeConnection::open(const asio::ip::tcp::endpoint& endpoint) {
   state_ = State::connecting;
-  last_used_ = opened_at_ = now();
-  touch_due(last_used_ + limits_.connect_timeout);
-  socket_.async_connect(at, [self = shared_from_this()](const auto& error) { self->on_open(error); });
+  last_used_ = connect_started_at_ = now();
+  set_timer(last_used_ + limits_.connect_timeout);
+  socket_.async_connect(endpoint,
+                        [self = shared_from_this()](const auto& error) { self->on_connected(error); });
 }
 
-void NodeConnection::on_open(const boost::system::error_code& error) {
+void NodeConnection::on_connected(const boost::system::error_code& error) {
   if (state_ != State::connecting) return;
   if (error)
     return close(Closing::refused, error.message(), Outcome::broken,
@@ -48,114 +49,115 @@
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
   state_ = State::open;
-  last_used_ = last_heard_ = now();
-  owner_.opened(*this, last_used_ - opened_at_);
-  await_readable();
+  last_used_ = last_received_ = now();
+  owner_.opened(*this, last_used_ - connect_started_at_);
+  wait_readable();
   write();
 }
 
-void NodeConnection::touch_due(double at) {
-  due_.set(due_key_, at, [weak = weak_from_this()](double now) {
+void NodeConnection::set_timer(double at) {
+  timers_.set(timer_key_, at, [weak = weak_from_this()](double now) {
     const auto self = weak.lock();
     if (!self) return;
     boost::system::error_code ignored;
     if (self->state_ == State::connecting) {
       self->close(Closing::timed_out, "connect timeout");
-    } else if (self->half_ && self->socket_.available(ignored) > 0) {
-      self->touch_due(now + self->limits_.connect_timeout);  // the router is behind, not the node
-    } else if (self->half_) {
-      self->spoilt();
+    } else if (self->partially_received_ && self->socket_.available(ignored) > 0) {
+      // The rest of the frame may be among the unread bytes: the router is late, not the node.
+      self->set_timer(now + self->limits_.connect_timeout);
+    } else if (self->partially_received_) {
+      self->close_malformed();
     } else if (self->idle()) {
       self->close(Closing::idle, "idle");
     }
   });
 }
 
-// A frame that stops halfway, or whose length is too long, would swallow the answers behind it. A whole one
-// takes no longer than a connection does to come up.
-void NodeConnection::await_rest() {
-  const auto half = in_.size() > 0;
-  if (half == half_) return;
-  half_ = half;
-  if (half) {
-    touch_due(last_heard_ + limits_.connect_timeout);
+// A frame that the node never completes, or whose length field is too large, would swallow the answers that
+// follow. The time allowed for the rest of a frame is that for a connection to be established.
+void NodeConnection::update_partial_frame_timer() {
+  const auto partially_received = receive_buffer_.size() > 0;
+  if (partially_received == partially_received_) return;
+  partially_received_ = partially_received;
+  if (partially_received) {
+    set_timer(last_received_ + limits_.connect_timeout);
   } else if (!idle()) {
-    due_.drop(due_key_);
+    timers_.drop(timer_key_);
   }
 }
 
-bool NodeConnection::takes(std::span<const OutgoingPart> parts, double now) const {
+bool NodeConnection::can_send(std::span<const OutgoingPart> parts, double now) const {
   if (state_ == State::closed || retired_) return false;
-  // What is written to a connection that the node is about to close for being idle ends as a reset.
+  // The node is about to close the idle connection: what is written to it now would end with a reset.
   if (idle() && state_ == State::open && now >= last_used_ + limits_.idle_timeout - limits_.connect_timeout)
     return false;
-  if (out_.size() + given_up_.size() + parts.size() > limits_.parts) return false;
-  // An answer names the part, not the call: an earlier call of the same part must not be on this connection.
+  if (pending_calls_.size() + cancelled_ids_.size() + parts.size() > limits_.max_parts) return false;
+  // An answer names the part, not the call, so two calls of one part can't share a connection.
   return std::none_of(parts.begin(), parts.end(), [&](const OutgoingPart& part) {
-    return out_.contains(part.id) || given_up_.contains(part.id);
+    return pending_calls_.contains(part.id) || cancelled_ids_.contains(part.id);
   });
 }
 
 void NodeConnection::send(std::vector<OutgoingPart> parts, double now) {
-  for (const auto& part : parts) out_[part.id] = {part.ref, now, false};
-  waiting_.push_back(std::move(parts));
+  for (const auto& part : parts) pending_calls_[part.id] = {part.ref, now, false};
+  queued_calls_.push_back(std::move(parts));
   last_used_ = now;
-  if (state_ == State::open) due_.drop(due_key_);
+  if (state_ == State::open) timers_.drop(timer_key_);
   write();
 }
 
 // --- writing
 //
-// Whether a call can have run is decided by the bytes that the kernel has taken, so they are written without
-// a completion handler: one that is still queued when a read reports the end of the connection would leave a
-// call that has gone out looking as if it had not. Frames of calls are built when the socket has room for
-// them and not before: what waits can be taken back, and the deadline in it is that of the moment.
+// Whether a call may have run is decided by the bytes that the kernel has taken. So writes are made directly,
+// without a completion handler: if one were still queued when a read reports the end of the connection, a
+// call that was sent would look unsent. The frame of a call is built only when the socket has room for it:
+// until then the call can be withdrawn, and the time left that the node is sent is current.
 
 void NodeConnection::write() {
-  if (state_ != State::open || awaits_writable_) return;
+  if (state_ != State::open || waits_writable_) return;
   while (write_buffered() && write_next_call()) {
   }
-  if (state_ == State::open) settle();
+  if (state_ == State::open) close_or_start_idle_timer();
 }
 
-// True: nothing is left in outgoing_.
+// Returns true if send_buffer_ is empty.
 bool NodeConnection::write_buffered() {
-  while (outgoing_.size() > 0) {
-    const auto head = outgoing_.data()[0];
+  while (send_buffer_.size() > 0) {
+    const auto head = send_buffer_.data()[0];
     std::size_t written = 0;
     if (!write_some({static_cast<const char*>(head.data()), head.size()}, written)) return false;
-    outgoing_.consume(written);
-    if (cut_frame_.bytes_left == 0) continue;
-    cut_frame_.bytes_left -= std::min(cut_frame_.bytes_left, written);
-    if (cut_frame_.bytes_left > 0) continue;
-    for (const auto& id : std::exchange(cut_frame_.ids, {})) mark_written(id);
+    send_buffer_.consume(written);
+    if (partial_frame_.bytes_left == 0) continue;
+    partial_frame_.bytes_left -= std::min(partial_frame_.bytes_left, written);
+    if (partial_frame_.bytes_left > 0) continue;
+    for (const auto& id : std::exchange(partial_frame_.ids, {})) mark_written(id);
   }
-  outgoing_.release();
+  send_buffer_.release();
   return true;
 }
 
-// True: the whole frame is written, and the next call may follow.
+// Returns true if a whole frame was written, so that the next call may follow.
 bool NodeConnection::write_next_call() {
   const auto at = now();
-  drop_expired(at);
-  if (waiting_.empty()) return false;
-  const auto frame = frame_of(waiting_.front(), at);
+  drop_expired_parts(at);
+  if (queued_calls_.empty()) return false;
+  const auto frame = encode_call(queued_calls_.front(), at);
   std::size_t written = 0;
   if (!write_some(frame, written)) return false;
-  const auto call = std::move(waiting_.front());
-  waiting_.pop_front();
+  const auto call = std::move(queued_calls_.front());
+  queued_calls_.pop_front();
   if (written == frame.size()) {
     for (const auto& part : call) mark_written(part.id);
     return true;
   }
-  outgoing_.put(std::string_view(frame).substr(written));
-  cut_frame_ = {frame.size() - written, {}};
-  for (const auto& part : call) cut_frame_.ids.push_back(part.id);
-  unwanted_.clear();
+  send_buffer_.put(std::string_view(frame).substr(written));
+  partial_frame_ = {frame.size() - written, {}};
+  for (const auto& part : call) partial_frame_.ids.push_back(part.id);
+  withdrawn_ids_.clear();
   return write_buffered();
 }
 
-// False: not a byte was taken; the write goes on later or the connection is closed.
+// Returns false if no byte was taken: the write is retried later, or the connection is closed.
 bool NodeConnection::write_some(std::string_view bytes, std::size_t& written) {
   boost::system::error_code error;
   do {
@@ -163,70 +165,71 @@
   } while (error == asio::error::interrupted);
   if (!error) return true;
   if (is_not_ready(error)) {
-    await_writable();
+    wait_writable();
   } else if (is_lack_of_memory(error)) {
-    // This machine's lack, not the node's: the call waits, as it does for a full socket.
-    due_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::write);
+    // A shortage on this machine says nothing about the node: the call waits, as it does for a full socket.
+    timers_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::write);
   } else {
     write_failed(error);
   }
   return false;
 }
 
-void NodeConnection::await_writable() {
-  awaits_writable_ = true;
+void NodeConnection::wait_writable() {
+  waits_writable_ = true;
   socket_.async_wait(asio::ip::tcp::socket::wait_write, [self = shared_from_this()](const auto& error) {
-    self->awaits_writable_ = false;
+    self->waits_writable_ = false;
     if (self->state_ != State::open || error == asio::error::operation_aborted) return;
     self->write();
   });
 }
 
-// The node may have answered before its end of the connection was reset: those answers still lie in the
-// socket.
+// Reads the answers that the node sent before it reset the connection; they are still in the socket.
 void NodeConnection::write_failed(const boost::system::error_code& error) {
-  for (std::size_t reads = 0; reads < kMostLastReads && read_some(); ++reads) {
+  for (std::size_t reads = 0; reads < kMaxFinalReads && read_some(); ++reads) {
   }
   close(Closing::broken, error.message());
 }
 
-// Of the calls that are next, until one has a part that is in time. A router that was held up finds a
-// connection up, or a socket free again, before it looks at the clock.
-void NodeConnection::drop_expired(double now) {
-  const auto in_time = [now](const OutgoingPart& part) { return now < part.send_by; };
-  while (!waiting_.empty()) {
-    auto& call = waiting_.front();
+// Drops the expired parts at the head of the queue, up to the first call that has a part left. After a
+// standstill of the router the connection may come up, or the socket become writable, before the timers of
+// these parts run.
+void NodeConnection::drop_expired_parts(double now) {
+  const auto in_time = [now](const OutgoingPart& part) { return now < part.send_deadline; };
+  while (!queued_calls_.empty()) {
+    auto& call = queued_calls_.front();
     const auto first_late = std::stable_partition(call.begin(), call.end(), in_time);
     std::vector<OutgoingPart> late(std::make_move_iterator(first_late), std::make_move_iterator(call.end()));
     call.erase(first_late, call.end());
     const auto any_left = !call.empty();
-    if (!any_left) waiting_.pop_front();
-    end_unsent(std::move(late));
+    if (!any_left) queued_calls_.pop_front();
+    end_as_unsent(std::move(late));
     if (any_left) return;
   }
 }
 
-void NodeConnection::end_unsent(std::vector<OutgoingPart> parts) {
-  for (const auto& part : parts) out_.erase(part.id);
-  for (const auto& part : parts) owner_.ended(part.ref, Outcome::unsent, 0, {});
+void NodeConnection::end_as_unsent(std::vector<OutgoingPart> parts) {
+  for (const auto& part : parts) pending_calls_.erase(part.id);
+  for (const auto& part : parts) owner_.call_ended(part.ref, Outcome::unsent, 0, {});
 }
 
-std::string NodeConnection::frame_of(std::span<const OutgoingPart> parts, double now) const {
-  std::vector<PartRequest> texts;
+std::string NodeConnection::encode_call(std::span<const OutgoingPart> parts, double now) const {
+  std::vector<PartRequest> requests;
   for (const auto& part : parts) {
-    const auto milliseconds = std::max(static_cast<long long>((part.expires - now) * 1e3), 1LL);
-    texts.push_back({part.id, part.shard, fmt::format("d={}{}", milliseconds, part.options), *part.text});
+    const auto milliseconds_left = std::max(static_cast<long long>((part.expires_at - now) * 1e3), 1LL);
+    requests.push_back(
+        {part.id, part.shard, fmt::format("d={}{}", milliseconds_left, part.options), *part.text});
   }
-  return encode_call_frame(texts);
+  return encode_call_frame(requests);
 }
 
 void NodeConnection::mark_written(const std::string& id) {
-  if (const auto call = out_.find(id); call != out_.end()) call->second.written = true;
+  if (const auto call = pending_calls_.find(id); call != pending_calls_.end()) call->second.written = true;
 }
 
 // --- reading
 
-void NodeConnection::await_readable() {
+void NodeConnection::wait_readable() {
   socket_.async_wait(asio::ip::tcp::socket::wait_read, [self = shared_from_this()](const auto& error) {
     if (self->state_ != State::open) return;
     if (error) return self->close(Closing::broken, error.message());
@@ -235,151 +238,160 @@
 }
 
 void NodeConnection::read_available() {
-  lacks_memory_ = false;
-  for (std::size_t reads = 0; reads < kMostReads && read_some(); ++reads) {
+  read_lacked_memory_ = false;
+  for (std::size_t reads = 0; reads < kMaxReadsPerTurn && read_some(); ++reads) {
   }
   if (state_ != State::open) return;
-  if (!lacks_memory_) return await_readable();
-  due_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::read_available);
+  if (!read_lacked_memory_) return wait_readable();
+  timers_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::read_available);
 }
 
 bool NodeConnection::read_some() {
   if (state_ != State::open) return false;
   boost::system::error_code error;
-  const auto count = socket_.read_some(in_.space(), error);
+  const auto count = socket_.read_some(receive_buffer_.space(), error);
   if (error == asio::error::interrupted) return true;
   if (is_not_ready(error) || is_lack_of_memory(error)) {
-    lacks_memory_ = is_lack_of_memory(error);
-    in_.release();  // a connection that rests has no buffer
+    read_lacked_memory_ = is_lack_of_memory(error);
+    receive_buffer_.release();  // no memory is kept for a connection without traffic
     return false;
   }
   if (error) {
     close(Closing::broken, error.message());
     return false;
   }
-  in_.commit(count);
-  last_used_ = last_heard_ = now();
-  take_frames();
+  receive_buffer_.commit(count);
+  last_used_ = last_received_ = now();
+  process_received_frames();
   return state_ == State::open;
 }
 
-void NodeConnection::take_frames() {
+void NodeConnection::process_received_frames() {
   Frame frame;
   for (;;) {
-    const auto state = decode_frame(in_, frame);
-    if (state == FrameStatus::incomplete) break;
-    if (state == FrameStatus::malformed || !take(frame)) return spoilt();
+    const auto status = decode_frame(receive_buffer_, frame);
+    if (status == FrameStatus::incomplete) break;
+    if (status == FrameStatus::malformed || !process_frame(frame)) return close_malformed();
     if (state_ != State::open) return;
   }
-  // Nothing is owed on it: what has come will only stand in the way of the next answer.
-  if (in_.size() > 0 && idle() && load_asked_ <= 0) return spoilt();
-  await_rest();
-  in_.release();
+  // No answer or report is pending: these bytes belong to none and would corrupt the next answer.
+  if (receive_buffer_.size() > 0 && idle() && load_requested_at_ <= 0) return close_malformed();
+  update_partial_frame_timer();
+  receive_buffer_.release();
 }
 
-bool NodeConnection::take(const Frame& frame) {
-  if (frame.type == 'H') return true;  // the answer to a probe, which is not sent
+bool NodeConnection::process_frame(const Frame& frame) {
+  if (frame.type == 'H') return true;  // the answer to a probe; this router sends none
   if (frame.type == 'M') {
-    if (load_asked_ > 0) owner_.load_reported(*this, frame.payload, std::exchange(load_asked_, 0));
+    if (load_requested_at_ > 0)
+      owner_.load_reported(*this, frame.payload, std::exchange(load_requested_at_, 0));
     return true;
   }
   if (frame.type != 'R') return false;
   const auto answer = parse_part_answer(frame.payload);
   if (!answer) return false;
-  // Behind a length that is too short stands the rest of the value, where a frame should begin. Noise behind
-  // a good answer looks the same: rather send that part again than serve half a value.
-  if (!can_start_frame(in_)) return false;
+  // If the length field was too small, the rest of the value follows where the next frame should begin.
+  // Invalid bytes after a correct answer look the same: it is better to send that part again than to return
+  // half a value.
+  if (!can_start_frame(receive_buffer_)) return false;
   const std::string id(answer->id);
-  const auto at = out_.find(id);
-  // A name that is not known says that the answer which was due is not to be had.
-  if (at == out_.end()) return given_up_.erase(id) > 0 || id == answered_;
-  const auto ref = at->second.ref;
-  out_.erase(at);
-  answered_ = id;
-  owner_.ended(ref, answer->outcome, answer->score, answer->value);
-  settle();
+  const auto pending = pending_calls_.find(id);
+  // An answer to an unknown part means that the node garbled the id of one that is pending, whose answer will
+  // never arrive.
+  if (pending == pending_calls_.end()) return cancelled_ids_.erase(id) > 0 || id == last_answered_id_;
+  const auto ref = pending->second.ref;
+  pending_calls_.erase(pending);
+  last_answered_id_ = id;
+  owner_.call_ended(ref, answer->outcome, answer->score, answer->value);
+  close_or_start_idle_timer();
   return true;
 }
 
-bool NodeConnection::give_up(const std::string& id) {
-  const auto call = out_.find(id);
-  if (call == out_.end()) return false;
-  // Where the other machine has vanished, or the way to it, its connections stay open and silent, and swallow
-  // each new call for as long as the module waits, which then takes the node for silent too. A new connection
-  // comes up or tells soon that it won't; to a node that is merely slow it costs a handshake.
-  const auto silent = last_heard_ < call->second.sent;
-  out_.erase(call);
-  given_up_.insert(id);
-  // An answer that is never to come would hold its place for good: with half of the places lost the
-  // connection makes way for a new one.
-  const auto leaves = !retired_ && (silent || 2 * given_up_.size() > limits_.parts);
-  retired_ = retired_ || leaves;
-  if (leaves) end_waiting();
+bool NodeConnection::cancel(const std::string& id) {
+  const auto pending = pending_calls_.find(id);
+  if (pending == pending_calls_.end()) return false;
+  // If the node's machine or the network path to it has vanished, its connections stay open but silent. Each
+  // new call on them would be lost until its timeout, and the decision module would take the node itself for
+  // silent. A new connection is established or fails soon; if the node is only slow, this costs one
+  // handshake.
+  const auto silent = last_received_ < pending->second.sent_at;
+  pending_calls_.erase(pending);
+  cancelled_ids_.insert(id);
+  // A cancelled part whose answer never arrives occupies a slot for good: once that holds for more than half
+  // of the slots, a new connection replaces this one.
+  const auto retires = !retired_ && (silent || 2 * cancelled_ids_.size() > limits_.max_parts);
+  retired_ = retired_ || retires;
+  if (retires) end_queued_calls();
   const auto frame = encode_cancel_frame(id);
-  if (state_ == State::open) outgoing_.put(frame);
+  if (state_ == State::open) send_buffer_.put(frame);
   write();
-  if (state_ == State::open) settle();
-  return leaves;
+  if (state_ == State::open) close_or_start_idle_timer();
+  return retires;
 }
 
-bool NodeConnection::unsend(const std::string& id) {
-  for (auto call = waiting_.begin(); call != waiting_.end(); ++call) {
+bool NodeConnection::withdraw(const std::string& id) {
+  for (auto call = queued_calls_.begin(); call != queued_calls_.end(); ++call) {
     const auto part = std::find_if(call->begin(), call->end(), [&](const auto& p) { return p.id == id; });
     if (part == call->end()) continue;
     call->erase(part);
-    if (call->empty()) waiting_.erase(call);
-    out_.erase(id);
-    settle();
+    if (call->empty()) queued_calls_.erase(call);
+    pending_calls_.erase(id);
+    close_or_start_idle_timer();
     return true;
   }
-  if (std::find(cut_frame_.ids.begin(), cut_frame_.ids.end(), id) == cut_frame_.ids.end()) return false;
-  unwanted_.insert(id);
-  const auto alone = std::all_of(out_.begin(), out_.end(),
-                                 [this](const auto& call) { return unwanted_.contains(call.first); });
-  if (alone) close(Closing::retired, "its only call was given up");
+  if (std::find(partial_frame_.ids.begin(), partial_frame_.ids.end(), id) == partial_frame_.ids.end())
+    return false;
+  withdrawn_ids_.insert(id);
+  const auto all_withdrawn =
+      std::all_of(pending_calls_.begin(), pending_calls_.end(),
+                  [this](const auto& call) { return withdrawn_ids_.contains(call.first); });
+  if (all_withdrawn)
+    close(Closing::retired, "its only call was withdrawn while its frame was partially written");
   return false;
 }
 
-bool NodeConnection::ask_load(double now) {
-  if (state_ != State::open || retired_ || (load_asked_ > 0 && now < load_asked_ + kLoadPatience))
+bool NodeConnection::request_load(double now) {
+  if (state_ != State::open || retired_ ||
+      (load_requested_at_ > 0 && now < load_requested_at_ + kLoadReportTimeoutSeconds))
     return false;
-  const auto frame = yoketurn::encode_frame('M', "");
-  if (!outgoing_.put(frame)) return false;
-  load_asked_ = now;
+  const auto frame = encode_frame('M', "");
+  if (!send_buffer_.put(frame)) return false;
+  load_requested_at_ = now;
   write();
   return true;
 }
 
 void NodeConnection::retire() {
   retired_ = true;
-  end_waiting();
-  settle();
+  end_queued_calls();
+  close_or_start_idle_timer();
 }
 
-void NodeConnection::end_waiting() {
+void NodeConnection::end_queued_calls() {
   std::vector<OutgoingPart> unsent;
-  for (auto& call : std::exchange(waiting_, {}))
+  for (auto& call : std::exchange(queued_calls_, {}))
     std::move(call.begin(), call.end(), std::back_inserter(unsent));
-  end_unsent(std::move(unsent));
+  end_as_unsent(std::move(unsent));
 }
 
-void NodeConnection::settle() {
-  if (state_ != State::open || !idle() || half_) return;
+void NodeConnection::close_or_start_idle_timer() {
+  if (state_ != State::open || !idle() || partially_received_) return;
   if (retired_) return close(Closing::retired, "retired");
-  touch_due(last_used_ + limits_.idle_timeout - limits_.connect_timeout);
+  // Closed before the node does it: see can_send.
+  set_timer(last_used_ + limits_.idle_timeout - limits_.connect_timeout);
 }
 
-void NodeConnection::close(Closing closing, std::string_view why, Outcome written, Outcome unwritten) {
+void NodeConnection::close(Closing reason, std::string_view message, Outcome written, Outcome unwritten) {
   if (state_ == State::closed) return;
   state_ = State::closed;
-  due_.drop(due_key_);
+  timers_.drop(timer_key_);
   boost::system::error_code ignored;
   socket_.close(ignored);
-  waiting_.clear();
+  queued_calls_.clear();
   const auto self = shared_from_this();
-  for (const auto& [id, call] : std::exchange(out_, {}))
-    owner_.ended(call.ref, call.written ? written : unwritten, 0, {});
-  owner_.closed(*this, closing, why);
+  for (const auto& [id, call] : std::exchange(pending_calls_, {}))
+    owner_.call_ended(call.ref, call.written ? written : unwritten, 0, {});
+  owner_.closed(*this, reason, message);
 }
 
 }  // namespace yoketurn
--- a/src/datanodes/connection.hpp
+++ b/src/datanodes/connection.hpp
@@ -1,4 +1,5 @@
-// One connection to a data node: calls out, answers in. Many calls share it.
+// One TCP connection to a data node. Many calls share it: parts are sent as frames, and answers, which name
+// their part, arrive in any order. All times are seconds of the monotonic clock (now() of queries/clock.hpp).
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,7 +17,7 @@
 
 namespace yoketurn {
 
-// Which call of which part of which query.
+// Identifies a call: the query, the index of the part in it and the index of the call of this part.
 struct CallRef {
   long long query = 0;
   int leaf = 0;
@@ -24,114 +25,126 @@
   auto operator<=>(const CallRef&) const = default;
 };
 
-// One sub-request, until its frame is built. Times are seconds of the monotonic clock.
+// A part that is to be sent to a node. Its frame is built when the socket can take it.
 struct OutgoingPart {
   CallRef ref;
-  std::string id;
+  std::string id;  // names the part on the wire
   int shard = 0;
-  std::string options;  // what its list holds behind the deadline, such as ",k=5c0f"
+  std::string options;  // appended to the deadline in the part's line, such as ",k=5c0f"
   std::shared_ptr<const std::string> text;
-  double expires = 0;  // when its answer is of no use any more; the node is told what is left until then
-  double send_by = 0;  // if its frame has not begun to be written by then, it never will be
+  double expires_at = 0;     // the answer is useless from then on; the node is sent the time left until then
+  double send_deadline = 0;  // a part whose frame has not begun to be written by then is never sent
 };
 
 class NodeConnection : public std::enable_shared_from_this<NodeConnection> {
  public:
   struct Limits {
-    std::size_t parts = 1;  // at once
-    std::size_t parts_a_call = 1;
-    double connect_timeout = 0;
-    double idle_timeout = 0;
+    std::size_t max_parts = 1;  // without an answer, cancelled ones included
+    std::size_t max_parts_per_call = 1;
+    double connect_timeout = 0;  // seconds
+    double idle_timeout = 0;     // seconds after which the node closes an idle connection
   };
 
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) = 0;
-    virtual void opened(NodeConnection& connection, double took) = 0;
-    virtual void closed(NodeConnection& connection, Closing closing, std::string_view why) = 0;
-    virtual void load_reported(NodeConnection& connection, std::string_view report, double asked) = 0;
+    // Called once for each part that was passed to send(), unless it was cancelled or withdrawn.
+    virtual void call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) = 0;
+    virtual void opened(NodeConnection& connection, double connect_seconds) = 0;
+    virtual void closed(NodeConnection& connection, Closing reason, std::string_view message) = 0;
+    virtual void load_reported(NodeConnection& connection, std::string_view report, double requested_at) = 0;
   };
 
-  NodeConnection(boost::asio::io_context& context, DueTimes& due, const Limits& limits, Owner& owner,
+  // `node` is the index of the node; it is only returned by node().
+  NodeConnection(boost::asio::io_context& context, DueTimes& timers, const Limits& limits, Owner& owner,
                  int node);
 
-  void open(const boost::asio::ip::tcp::endpoint& at);
-  bool takes(std::span<const OutgoingPart> parts, double now) const;
+  void open(const boost::asio::ip::tcp::endpoint& endpoint);
+  // Whether these parts can be sent on this connection.
+  bool can_send(std::span<const OutgoingPart> parts, double now) const;
+  // Sends the parts as one call, in one frame, as soon as the connection is up and the socket has room.
   void send(std::vector<OutgoingPart> parts, double now);
-  // The call is told of no more. Answers to it that still come are dropped.
-  bool give_up(const std::string& id);  // whether the connection takes no new calls from now on
-  // Takes back a part. True: no byte of its frame was written, and none will be. A frame that was cut off by
-  // a full socket can't be taken back alone: the connection is closed once nothing else is out on it.
-  bool unsend(const std::string& id);
-  // Takes no new calls, is closed once none is out. Parts of which no byte was written end as `unsent`.
+  // Sends the node a cancellation. The owner isn't notified of this call any more; an answer that still
+  // arrives is dropped. Returns true if this made the connection retire: it takes no new calls from now on.
+  bool cancel(const std::string& id);
+  // Withdraws a part. Returns true if no byte of its frame was written; none will be. A frame that was
+  // partially written can't be withdrawn alone: the connection is closed once all its pending parts are
+  // withdrawn ones of this frame.
+  bool withdraw(const std::string& id);
+  // Takes no new calls and closes as soon as none is pending. Parts in the queue, of which no byte was
+  // written, end as `unsent`.
   void retire();
-  // Ends it: a call of which the last byte was written has the one outcome, any other cannot have run.
-  void close(Closing closing, std::string_view why, Outcome written = Outcome::broken,
+  // Closes the connection. Pending calls whose frame was written completely end with the outcome `written`;
+  // all others can't have run and end with `unwritten`.
+  void close(Closing reason, std::string_view message, Outcome written = Outcome::broken,
              Outcome unwritten = Outcome::unreachable);
-  bool ask_load(double now);  // for the node's load report; whether it could be asked
+  // Requests a load report of the node. False: it can't be requested now, or an earlier request is still
+  // pending.
+  bool request_load(double now);
 
   int node() const { return node_; }
-  bool idle() const { return out_.empty(); }
+  bool idle() const { return pending_calls_.empty(); }
   double last_used() const { return last_used_; }
 
  private:
-  enum class State { fresh, connecting, open, closed };
-  struct Call {
+  enum class State { created, connecting, open, closed };
+  struct PendingCall {
     CallRef ref;
-    double sent = 0;
+    double sent_at = 0;    // when it was passed to send()
     bool written = false;  // the kernel has taken the last byte of its frame
   };
-  // The call whose frame the socket has taken a part of; the rest stands at the head of outgoing_.
-  struct CutFrame {
+  // The call whose frame the socket has taken only in part; the rest is at the head of send_buffer_.
+  struct PartialFrame {
     std::size_t bytes_left = 0;
     std::vector<std::string> ids;
   };
 
-  void on_open(const boost::system::error_code& error);
-  void await_readable();
+  void on_connected(const boost::system::error_code& error);
+  void wait_readable();
   void read_available();
   bool read_some();  // whether there may be more to read
-  void take_frames();
+  void process_received_frames();
+  bool process_frame(const Frame& frame);  // false: the frame is malformed or unexpected
   void write();
   bool write_buffered();
   bool write_next_call();
   bool write_some(std::string_view bytes, std::size_t& written);
-  void await_writable();
+  void wait_writable();
   void write_failed(const boost::system::error_code& error);
-  void drop_expired(double now);
-  std::string frame_of(std::span<const OutgoingPart> parts, double now) const;
+  void drop_expired_parts(double now);
+  std::string encode_call(std::span<const OutgoingPart> parts, double now) const;
   void mark_written(const std::string& id);
-  void end_unsent(std::vector<OutgoingPart> parts);
-  void end_waiting();
-  bool take(const Frame& frame);
-  void spoilt() { close(Closing::spoilt, "unusable frame", Outcome::spoilt, Outcome::unsent); }
-  void await_rest();
-  void settle();  // after a call has ended: closes or waits idle
-  void touch_due(double at);
+  void end_as_unsent(std::vector<OutgoingPart> parts);
+  void end_queued_calls();
+  void close_malformed() {
+    close(Closing::spoilt, "malformed or unexpected frame", Outcome::spoilt, Outcome::unsent);
+  }
+  void update_partial_frame_timer();
+  void close_or_start_idle_timer();  // if no call is pending
+  void set_timer(double at);
 
   boost::asio::ip::tcp::socket socket_;
-  DueTimes& due_;
+  DueTimes& timers_;
   Limits limits_;
   Owner& owner_;
   int node_;
-  DueTimes::Key due_key_;
-  State state_ = State::fresh;
+  DueTimes::Key timer_key_;  // connect timeout, idle timeout or timeout of a partially received frame
+  State state_ = State::created;
   bool retired_ = false;
-  bool awaits_writable_ = false;
-  bool lacks_memory_ = false;  // the last read found none for its bytes
-  double last_used_ = 0;
-  double last_heard_ = 0;
-  double opened_at_ = 0;
-  double load_asked_ = 0;  // 0: no report is due
-  Ring in_, outgoing_;
-  std::deque<std::vector<OutgoingPart>> waiting_;  // calls of which no byte was written
-  CutFrame cut_frame_;
-  std::unordered_set<std::string> unwanted_;  // parts of it that would be taken back if they could be
-  std::unordered_map<std::string, Call> out_;
-  std::unordered_set<std::string> given_up_;  // whose answers may still come
-  std::string answered_;                      // the last one
-  bool half_ = false;                         // a frame has begun to come
+  bool waits_writable_ = false;
+  bool read_lacked_memory_ = false;  // the last read failed because the kernel had no memory for it
+  double last_used_ = 0;             // last send or receive
+  double last_received_ = 0;
+  double connect_started_at_ = 0;
+  double load_requested_at_ = 0;  // 0: no report is pending
+  Ring receive_buffer_, send_buffer_;
+  std::deque<std::vector<OutgoingPart>> queued_calls_;  // no byte of them was written
+  PartialFrame partial_frame_;
+  std::unordered_set<std::string> withdrawn_ids_;  // parts of partial_frame_ that can't be withdrawn alone
+  std::unordered_map<std::string, PendingCall> pending_calls_;  // by the part's id
+  std::unordered_set<std::string> cancelled_ids_;               // their answers may still arrive
+  std::string last_answered_id_;
+  bool partially_received_ = false;  // receive_buffer_ has the beginning of a frame
 };
 
 }  // namespace yoketurn
--- a/src/datanodes/frames.cpp
+++ b/src/datanodes/frames.cpp
@@ -11,18 +11,21 @@
 namespace {
 
 constexpr std::size_t kLengthBytes = 4;
+constexpr std::string_view kFrameTypes = "SCRFHM";
 
-std::string_view word(std::string_view& line) {
+// Removes the first word and the space behind it from the line.
+std::string_view take_word(std::string_view& line) {
   const auto end = std::min(line.find(' '), line.size());
   const auto result = line.substr(0, end);
   line.remove_prefix(std::min(end + 1, line.size()));
   return result;
 }
 
-// Bytes that are not there yet read as 0: the length is at least this.
-std::size_t length_at(const Ring& ring) {
+// The length field at the head of the buffer. Bytes that have not been received count as 0, so the result is
+// a lower bound until all four are there.
+std::size_t peek_length(const Ring& buffer) {
   std::array<char, kLengthBytes> head{};
-  ring.peek(0, head.data(), std::min(ring.size(), head.size()));
+  buffer.peek(0, head.data(), std::min(buffer.size(), head.size()));
   std::size_t length = 0;
   for (const auto byte : head) length = length << 8 | static_cast<unsigned char>(byte);
   return length;
@@ -41,58 +44,59 @@
 }
 
 std::string encode_call_frame(std::span<const PartRequest> parts) {
-  std::string rest;
+  std::string payload;
   for (const auto& part : parts) {
-    rest += fmt::format("{} {} {} {}\n", part.id, part.shard, part.options, part.text.size());
-    rest += part.text;
+    payload += fmt::format("{} {} {} {}\n", part.id, part.shard, part.options, part.text.size());
+    payload += part.text;
   }
-  return encode_frame('S', rest);
+  return encode_frame('S', payload);
 }
 
 std::string encode_cancel_frame(std::string_view id) {
   return encode_frame('C', id);
 }
 
-bool can_start_frame(const Ring& ring) {
-  if (ring.size() == 0) return true;
-  const auto length = length_at(ring);
-  if (length + kLengthBytes > kMaxFrameBytes || (ring.size() >= kLengthBytes && length == 0)) return false;
-  if (ring.size() <= kLengthBytes) return true;
-  char letter = 0;
-  ring.peek(kLengthBytes, &letter, 1);
-  return std::string_view("SCRFHM").find(letter) != std::string_view::npos;
+bool can_start_frame(const Ring& buffer) {
+  if (buffer.size() == 0) return true;
+  const auto length = peek_length(buffer);
+  if (length + kLengthBytes > kMaxFrameBytes || (buffer.size() >= kLengthBytes && length == 0)) return false;
+  if (buffer.size() <= kLengthBytes) return true;
+  char type = 0;
+  buffer.peek(kLengthBytes, &type, 1);
+  return kFrameTypes.find(type) != std::string_view::npos;
 }
 
-FrameStatus decode_frame(Ring& ring, Frame& result) {
-  if (!can_start_frame(ring)) return FrameStatus::malformed;
-  if (ring.size() < kLengthBytes) return FrameStatus::incomplete;
-  const auto length = length_at(ring);
-  if (ring.size() < kLengthBytes + length) return FrameStatus::incomplete;
-  ring.peek(kLengthBytes, &result.type, 1);
-  result.payload.resize(length - 1);
-  ring.peek(kLengthBytes + 1, result.payload.data(), length - 1);
-  ring.consume(kLengthBytes + length);
+FrameStatus decode_frame(Ring& buffer, Frame& frame) {
+  if (!can_start_frame(buffer)) return FrameStatus::malformed;
+  if (buffer.size() < kLengthBytes) return FrameStatus::incomplete;
+  const auto length = peek_length(buffer);
+  if (buffer.size() < kLengthBytes + length) return FrameStatus::incomplete;
+  buffer.peek(kLengthBytes, &frame.type, 1);
+  frame.payload.resize(length - 1);
+  buffer.peek(kLengthBytes + 1, frame.payload.data(), length - 1);
+  buffer.consume(kLengthBytes + length);
   return FrameStatus::complete;
 }
 
-std::optional<PartAnswer> parse_part_answer(std::string_view rest) {
-  const auto end = rest.find('\n');
-  if (end == std::string_view::npos) return std::nullopt;
-  auto line = rest.substr(0, end);
+std::optional<PartAnswer> parse_part_answer(std::string_view payload) {
+  const auto line_end = payload.find('\n');
+  if (line_end == std::string_view::npos) return std::nullopt;
+  auto line = payload.substr(0, line_end);
   PartAnswer answer;
-  answer.value = rest.substr(end + 1);
-  // A length that is too long takes in the head of the next frame.
+  answer.value = payload.substr(line_end + 1);
+  // If a node sends a length that is too large, the value swallows the head of the next frame. Its length
+  // field contains control characters, which a value must not.
   if (std::any_of(answer.value.begin(), answer.value.end(), [](unsigned char c) { return c < ' '; }))
     return std::nullopt;
-  answer.id = word(line);
-  const auto how = word(line);
-  const auto score = word(line);
+  answer.id = take_word(line);
+  const auto end = take_word(line);
+  const auto score = take_word(line);
   if (answer.id.empty() || score.empty()) return std::nullopt;
-  if (how == "done") {
+  if (end == "done") {
     answer.outcome = Outcome::success;
-  } else if (how == "failed") {
+  } else if (end == "failed") {
     answer.outcome = Outcome::failure;
-  } else if (how == "full") {
+  } else if (end == "full") {
     answer.outcome = Outcome::overloaded;
   } else {
     return std::nullopt;
--- a/src/datanodes/frames.hpp
+++ b/src/datanodes/frames.hpp
@@ -1,4 +1,11 @@
-// The frames between a router and data nodes: a length, a letter and the rest.
+// The frames exchanged between a router and the data nodes. A frame is a length of 4 bytes (big-endian, of
+// what follows), a type byte and a payload:
+//   S  a call: for each part a line "id shard options text-length", then the text
+//   C  cancels a part: its id
+//   M  from the router: requests a load report, without payload; from the node: the report
+//   R  the answer to a part: a line "id end score ...", then the value
+// A node may also send H, the answer to a probe, which this router doesn't send. F is a known type, but a
+// connection on which it arrives is closed.
 #pragma once
 
 #include <optional>
@@ -11,14 +18,16 @@
 
 namespace yoketurn {
 
-inline constexpr std::size_t kMaxTextBytes = 64 * 1024;     // of a query's text or a part's value
-inline constexpr std::size_t kMaxPartLineBytes = 4 * 1024;  // that goes before it
+inline constexpr std::size_t kMaxTextBytes = 64 * 1024;     // of the text of a query or the value of a part
+inline constexpr std::size_t kMaxPartLineBytes = 4 * 1024;  // of the line in front of it
 inline constexpr std::size_t kMaxFrameBytes = 5 + kMaxPartLineBytes + kMaxTextBytes;
 
+// One part of a call, as it is written into a frame of type S.
 struct PartRequest {
   std::string id;
   int shard = 0;
-  std::string options;  // such as d=240,k=5c0f
+  // Comma-separated, such as "d=240,k=5c0f". d: milliseconds until the deadline; k: idempotency key.
+  std::string options;
   std::string_view text;
 };
 
@@ -32,9 +41,14 @@
 };
 
 enum class FrameStatus { incomplete, complete, malformed };
-FrameStatus decode_frame(Ring& ring, Frame& frame);
 
-bool can_start_frame(const Ring& ring);  // whether what stands there can be the first bytes of a frame
+// Moves the first frame out of the buffer into `frame`, if all of it has been received. Leaves the buffer as
+// it is otherwise.
+FrameStatus decode_frame(Ring& buffer, Frame& frame);
+
+// Whether the buffered bytes can be the beginning of a frame: a length within the bounds and a known type.
+// True for an empty buffer.
+bool can_start_frame(const Ring& buffer);
 
 struct PartAnswer {
   std::string_view id;
@@ -42,6 +56,8 @@
   double score = 0;
   std::string_view value;
 };
-std::optional<PartAnswer> parse_part_answer(std::string_view rest);  // of a frame R
+
+// Parses the payload of a frame of type R. nullopt: it is malformed. The result refers to the payload.
+std::optional<PartAnswer> parse_part_answer(std::string_view payload);
 
 }  // namespace yoketurn
--- a/src/datanodes/pool.cpp
+++ b/src/datanodes/pool.cpp
@@ -6,13 +6,13 @@
 
 namespace yoketurn {
 
-ConnectionPool::ConnectionPool(boost::asio::io_context& context, DueTimes& due,
-                               const NodeConnection::Limits& limits, std::size_t most_connections, Log& log,
+ConnectionPool::ConnectionPool(boost::asio::io_context& context, DueTimes& timers,
+                               const NodeConnection::Limits& limits, std::size_t max_connections, Log& log,
                                Listener& listener)
     : context_(context),
-      due_(due),
+      timers_(timers),
       limits_(limits),
-      most_connections_(most_connections),
+      max_connections_(max_connections),
       log_(log),
       listener_(listener) {}
 
@@ -22,24 +22,25 @@
       connection->close(Closing::stopped, "stopped");
 }
 
-void ConnectionPool::set_node(int node, const boost::asio::ip::tcp::endpoint& at, double born, bool up) {
+void ConnectionPool::set_node(int node, const boost::asio::ip::tcp::endpoint& endpoint, double started_at,
+                              bool up) {
   if (nodes_.size() <= static_cast<std::size_t>(node)) nodes_.resize(static_cast<std::size_t>(node) + 1);
   auto& known = nodes_[static_cast<std::size_t>(node)];
-  if (!up)
-    retire_connections(
-        node);  // a draining node is sent nothing more, not even what waits for a connection to it
-  if (known.at == at && known.born == born) return;  // of a number's former node nothing is open any more
-  known.at = at;
-  known.born = born;
-  retire_connections(node);  // what is open leads to a process that is no more
-  if (up) open_ahead(node);
+  // A draining node is sent nothing more, not even the parts that wait for a connection to be established.
+  if (!up) retire_connections(node);
+  // An index is reused only after all connections of its previous node are closed.
+  if (known.endpoint == endpoint && known.started_at == started_at) return;
+  known.endpoint = endpoint;
+  known.started_at = started_at;
+  retire_connections(node);  // they lead to a process that has ended
+  if (up) open_in_advance(node);
 }
 
-// A new connection keeps its first part for as long as its handshake takes, and no giving up can overtake
-// that: the part would be taken up after its query has had its answer. So it is opened before there is a part
-// for it.
-void ConnectionPool::open_ahead(int node) {
-  if (2 * open_ < most_connections_) open(node);
+// The first part on a new connection waits for the handshake, and a cancellation can't overtake it: the node
+// would start on the part after its query has been answered. So a connection is opened before there is a part
+// for it, unless half of the allowed connections are open already.
+void ConnectionPool::open_in_advance(int node) {
+  if (2 * connection_count_ < max_connections_) open(node);
 }
 
 void ConnectionPool::retire_connections(int node) {
@@ -53,36 +54,38 @@
          !nodes_[static_cast<std::size_t>(node)].connections.empty();
 }
 
-void ConnectionPool::send(int node, int group, OutgoingPart part, double timeout, double by) {
+void ConnectionPool::send(int node, int group, OutgoingPart part, double timeout, double send_timeout) {
   const auto ref = part.ref;
-  auto& out = out_[ref];
-  out.id = part.id;
-  out.due = due_.fresh_key();
+  auto& call = pending_calls_[ref];
+  call.id = part.id;
+  call.timeout_timer = timers_.fresh_key();
   const auto at = now();
-  part.expires = at + timeout;
-  part.send_by = at + std::min(by, timeout);
-  due_.set(out.due, part.expires, [this, ref](double) { cancel(ref, Outcome::timed_out); });
-  // A connection may come up, or take what waits for it, when the time for a deduplicated part is over.
-  if (by < timeout) {
-    out.by = due_.fresh_key();
-    due_.set(out.by, part.send_by, [this, ref](double) { withdraw(ref); });
+  part.expires_at = at + timeout;
+  part.send_deadline = at + std::min(send_timeout, timeout);
+  timers_.set(call.timeout_timer, part.expires_at, [this, ref](double) { cancel(ref, Outcome::timed_out); });
+  // The connection may be established, or have room for the parts in its queue, only after the window of a
+  // deduplicated part is over.
+  if (send_timeout < timeout) {
+    call.send_timer = timers_.fresh_key();
+    timers_.set(call.send_timer, part.send_deadline, [this, ref](double) { withdraw(ref); });
   }
-  turn_[{node, group}].push_back(std::move(part));
+  queued_parts_[{node, group}].push_back(std::move(part));
 }
 
 void ConnectionPool::flush() {
   const auto at = now();
-  for (auto& [where, parts] : std::exchange(turn_, {})) {
-    std::erase_if(parts, [&](const OutgoingPart& part) { return !out_.contains(part.ref); });
+  for (auto& [node_and_group, parts] : std::exchange(queued_parts_, {})) {
+    const auto node = node_and_group.first;
+    std::erase_if(parts, [&](const OutgoingPart& part) { return !pending_calls_.contains(part.ref); });
     if (parts.empty()) continue;
-    const auto connection = connection_for(where.first, parts, at);
+    const auto connection = connection_for(node, parts, at);
     if (!connection) {
-      log_.line("no_connection", "node={} open={}", where.first, open_);
+      log_.line("no_connection", "node={} open={}", node, connection_count_);
       listener_.connection_limit_reached();
-      for (const auto& part : parts) ended(part.ref, Outcome::unsent, 0, {});
+      for (const auto& part : parts) call_ended(part.ref, Outcome::unsent, 0, {});
       continue;
     }
-    for (const auto& part : parts) out_[part.ref].connection = connection;
+    for (const auto& part : parts) pending_calls_[part.ref].connection = connection;
     connection->send(std::move(parts), at);
   }
 }
@@ -91,22 +94,22 @@
                                                                double now) {
   auto& known = nodes_.at(static_cast<std::size_t>(node));
   for (const auto& connection : known.connections)
-    if (connection->takes(parts, now)) return connection;
-  if (open_ >= most_connections_ && !make_room()) return nullptr;
+    if (connection->can_send(parts, now)) return connection;
+  if (connection_count_ >= max_connections_ && !close_least_recently_used()) return nullptr;
   return open(node);
 }
 
 std::shared_ptr<NodeConnection> ConnectionPool::open(int node) {
   auto& known = nodes_.at(static_cast<std::size_t>(node));
-  const auto fresh =
-      std::make_shared<NodeConnection>(context_, due_, limits_, static_cast<Owner&>(*this), node);
-  known.connections.push_back(fresh);
-  ++open_;
-  fresh->open(known.at);
-  return fresh;
+  const auto connection =
+      std::make_shared<NodeConnection>(context_, timers_, limits_, static_cast<Owner&>(*this), node);
+  known.connections.push_back(connection);
+  ++connection_count_;
+  connection->open(known.endpoint);
+  return connection;
 }
 
-bool ConnectionPool::make_room() {
+bool ConnectionPool::close_least_recently_used() {
   std::shared_ptr<NodeConnection> oldest;
   for (const auto& node : nodes_)
     for (const auto& connection : node.connections)
@@ -118,40 +121,41 @@
 }
 
 void ConnectionPool::cancel(const CallRef& ref, Outcome outcome) {
-  const auto at = out_.find(ref);
-  if (at == out_.end()) return;
-  const auto connection = at->second.connection.lock();
-  const auto id = at->second.id;  // the connection may close, and end its calls
-  if (connection && !connection->unsend(id)) {
+  const auto pending = pending_calls_.find(ref);
+  if (pending == pending_calls_.end()) return;
+  const auto connection = pending->second.connection.lock();
+  const auto id = pending->second.id;  // a copy: closing the connection may erase the pending call
+  if (connection && !connection->withdraw(id)) {
     const auto node = connection->node();
-    if (connection->give_up(id)) open_ahead(node);
+    if (connection->cancel(id)) open_in_advance(node);
   } else {
     outcome = outcome == Outcome::timed_out ? Outcome::unreachable : Outcome::unsent;
   }
-  ended(ref, outcome, 0, {});
+  call_ended(ref, outcome, 0, {});
 }
 
 void ConnectionPool::withdraw(const CallRef& ref) {
-  const auto at = out_.find(ref);
-  if (at == out_.end()) return;
-  const auto connection = at->second.connection.lock();
-  const auto id = at->second.id;  // the connection may close, and end its calls
-  if (!connection || connection->unsend(id)) ended(ref, Outcome::unsent, 0, {});
+  const auto pending = pending_calls_.find(ref);
+  if (pending == pending_calls_.end()) return;
+  const auto connection = pending->second.connection.lock();
+  const auto id = pending->second.id;  // a copy: closing the connection may erase the pending call
+  if (!connection || connection->withdraw(id)) call_ended(ref, Outcome::unsent, 0, {});
 }
 
 void ConnectionPool::cancel_unsent(long long query) {
   std::vector<CallRef> calls;
-  for (auto at = out_.lower_bound({query, 0, 0}); at != out_.end() && at->first.query == query; ++at)
-    calls.push_back(at->first);
+  for (auto pending = pending_calls_.lower_bound({query, 0, 0});
+       pending != pending_calls_.end() && pending->first.query == query; ++pending)
+    calls.push_back(pending->first);
   for (const auto& ref : calls) withdraw(ref);
 }
 
-void ConnectionPool::ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) {
-  const auto at = out_.find(ref);
-  if (at == out_.end()) return;
-  due_.drop(at->second.due);
-  if (at->second.by != 0) due_.drop(at->second.by);
-  out_.erase(at);
+void ConnectionPool::call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) {
+  const auto pending = pending_calls_.find(ref);
+  if (pending == pending_calls_.end()) return;
+  timers_.drop(pending->second.timeout_timer);
+  if (pending->second.send_timer != 0) timers_.drop(pending->second.send_timer);
+  pending_calls_.erase(pending);
   listener_.call_ended(ref, outcome, score, value);
 }
 
@@ -159,26 +163,26 @@
   const auto at = now();
   for (const auto& node : nodes_)
     for (const auto& connection : node.connections)
-      if (connection->ask_load(at)) {
+      if (connection->request_load(at)) {
         listener_.load_requested(connection->node());
         break;
       }
 }
 
-void ConnectionPool::opened(NodeConnection& connection, double took) {
-  listener_.connection_opened(connection.node(), took);
+void ConnectionPool::opened(NodeConnection& connection, double connect_seconds) {
+  listener_.connection_opened(connection.node(), connect_seconds);
 }
 
-void ConnectionPool::load_reported(NodeConnection& connection, std::string_view report, double asked) {
-  listener_.load_reported(connection.node(), report, asked);
+void ConnectionPool::load_reported(NodeConnection& connection, std::string_view report, double requested_at) {
+  listener_.load_reported(connection.node(), report, requested_at);
 }
 
-void ConnectionPool::closed(NodeConnection& connection, Closing closing, std::string_view why) {
-  --open_;
-  listener_.connection_closed(connection.node(), closing);
+void ConnectionPool::closed(NodeConnection& connection, Closing reason, std::string_view message) {
+  --connection_count_;
+  listener_.connection_closed(connection.node(), reason);
   std::erase_if(nodes_[static_cast<std::size_t>(connection.node())].connections,
-                [&](const auto& held) { return held.get() == &connection; });
-  if (closing != Closing::idle) log_.line("node_closed", "node={} why=\"{}\"", connection.node(), why);
+                [&](const auto& other) { return other.get() == &connection; });
+  if (reason != Closing::idle) log_.line("node_closed", "node={} why=\"{}\"", connection.node(), message);
 }
 
 }  // namespace yoketurn
--- a/src/datanodes/pool.hpp
+++ b/src/datanodes/pool.hpp
@@ -1,4 +1,5 @@
-// The connections to all data nodes, and the calls that are out on them.
+// The connections to all data nodes and the calls that are pending on them. All times are seconds of the
+// monotonic clock (now() of queries/clock.hpp).
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,66 +15,73 @@
 
 class ConnectionPool : private NodeConnection::Owner {
  public:
-  // Tells how a call has ended, once for each call; never from within one of the pool's own functions.
   class Listener {
    public:
     virtual ~Listener() = default;
+    // Called once for each call that was passed to send(). It may run inside of any function of the pool, so
+    // it must not call the pool again.
     virtual void call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) = 0;
-    virtual void connection_opened(int node, double took) = 0;
-    virtual void connection_closed(int node, Closing closing) = 0;
+    virtual void connection_opened(int node, double connect_seconds) = 0;
+    virtual void connection_closed(int node, Closing reason) = 0;
     virtual void load_requested(int node) = 0;
-    virtual void load_reported(int node, std::string_view report, double asked) = 0;
-    virtual void connection_limit_reached() = 0;  // for a connection
+    virtual void load_reported(int node, std::string_view report, double requested_at) = 0;
+    virtual void connection_limit_reached() = 0;  // no connection could be opened for a call
   };
 
-  ConnectionPool(boost::asio::io_context& context, DueTimes& due, const NodeConnection::Limits& limits,
-                 std::size_t most_connections, Log& log, Listener& listener);
+  ConnectionPool(boost::asio::io_context& context, DueTimes& timers, const NodeConnection::Limits& limits,
+                 std::size_t max_connections, Log& log, Listener& listener);
   ~ConnectionPool();
 
-  void set_node(int node, const boost::asio::ip::tcp::endpoint& at, double born, bool up);
-  void retire_connections(int node);    // its connections are closed once no call is out on them
-  bool has_connection(int node) const;  // a connection to it
-  // Parts of one group that are given in one turn travel as one call. A part waits for its answer so long
-  // (timeout), and if its frame has not begun to be written within `by` it never will be; seconds from now.
-  void send(int node, int group, OutgoingPart part, double timeout, double by);
+  // Sets the address and start time (0: long ago) of a node. Existing connections are retired if either
+  // changes, or if the node is not `up`, which is to say, draining.
+  void set_node(int node, const boost::asio::ip::tcp::endpoint& endpoint, double started_at, bool up);
+  void retire_connections(int node);  // they take no new calls and close once none is pending
+  bool has_connection(int node) const;
+  // Queues a part until flush(). The parts of one group that are queued between two calls of flush() are sent
+  // to the node as one call. The part ends with a timeout after `timeout` seconds. If its frame has not begun
+  // to be written within `send_timeout` seconds, it is never sent.
+  void send(int node, int group, OutgoingPart part, double timeout, double send_timeout);
   void flush();
-  void request_loads();  // of each node with an open connection
+  void request_loads();  // one load report from each node with an open connection
+  // Ends a call with this outcome and sends its node a cancellation; a call that was not sent is withdrawn.
   void cancel(const CallRef& ref, Outcome outcome);
-  void cancel_unsent(long long query);  // what has not begun to be written never will be
-  std::size_t connection_count() const { return open_; }
+  // Withdraws all calls of a query whose frames have not begun to be written.
+  void cancel_unsent(long long query);
+  std::size_t connection_count() const { return connection_count_; }
 
  private:
   struct Node {
-    boost::asio::ip::tcp::endpoint at;
-    double born = 0;
+    boost::asio::ip::tcp::endpoint endpoint;
+    double started_at = 0;
     std::vector<std::shared_ptr<NodeConnection>> connections;
   };
-  struct Out {
+  struct PendingCall {
     std::weak_ptr<NodeConnection> connection;
     std::string id;
-    DueTimes::Key due = 0, by = 0;
+    DueTimes::Key timeout_timer = 0;
+    DueTimes::Key send_timer = 0;  // 0: none, as the send timeout is not shorter than the timeout
   };
 
   void withdraw(const CallRef& ref);
-  void ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) override;
-  void opened(NodeConnection& connection, double took) override;
-  void closed(NodeConnection& connection, Closing closing, std::string_view why) override;
-  void load_reported(NodeConnection& connection, std::string_view report, double asked) override;
+  void call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) override;
+  void opened(NodeConnection& connection, double connect_seconds) override;
+  void closed(NodeConnection& connection, Closing reason, std::string_view message) override;
+  void load_reported(NodeConnection& connection, std::string_view report, double requested_at) override;
   std::shared_ptr<NodeConnection> connection_for(int node, std::span<const OutgoingPart> parts, double now);
   std::shared_ptr<NodeConnection> open(int node);
-  void open_ahead(int node);
-  bool make_room();
+  void open_in_advance(int node);
+  bool close_least_recently_used();  // of the idle connections; false: none is idle
 
   boost::asio::io_context& context_;
-  DueTimes& due_;
+  DueTimes& timers_;
   NodeConnection::Limits limits_;
-  std::size_t most_connections_;
+  std::size_t max_connections_;
   Log& log_;
   Listener& listener_;
   std::vector<Node> nodes_;
-  std::map<CallRef, Out> out_;
-  std::map<std::pair<int, int>, std::vector<OutgoingPart>> turn_;  // by node and group
-  std::size_t open_ = 0;
+  std::map<CallRef, PendingCall> pending_calls_;
+  std::map<std::pair<int, int>, std::vector<OutgoingPart>> queued_parts_;  // by node and group, until flush()
+  std::size_t connection_count_ = 0;
 };
 
 }  // namespace yoketurn
