--- a/src/discovery/list.cpp
+++ b/src/discovery/list.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-Member read_member(const json::value& value) {
+Member parse_member(const json::value& value) {
   const auto* object = value.if_object();
-  if (object == nullptr) throw Malformed("list: an entry is no object");
+  if (object == nullptr) throw Malformed("member list: an entry of \"servers\" is not an object");
   Member member;
   member.id = text_field(*object, "id");
   const auto state = text_field(*object, "state");
@@ -22,9 +22,9 @@
   member.up = state == "ready";
   if (!member.removed && !member.up && state != "draining") complain("state", state);
   const auto addr = text_field(*object, "addr");
-  const auto at = parse_endpoint(addr);
-  if (!at) complain("addr", addr);
-  member.endpoint = *at;
+  const auto endpoint = parse_endpoint(addr);
+  if (!endpoint) complain("addr", addr);
+  member.endpoint = *endpoint;
   member.zone = text_field(*object, "zone");
   member.cell = number_field<int>(*object, "cell", 0, static_cast<int>(kLargestIndex));
   member.started_at = {number_field<double>(*object, "started_ms", 0, std::numeric_limits<double>::max()) /
@@ -41,8 +41,8 @@
   const auto address = boost::asio::ip::make_address(std::string(text.substr(0, colon)), error);
   const auto port_text = text.substr(colon + 1);
   unsigned short port = 0;
-  const auto [end, wrong] = std::from_chars(port_text.data(), port_text.data() + port_text.size(), port);
-  if (error || wrong != std::errc{} || end != port_text.data() + port_text.size()) return std::nullopt;
+  const auto [end, port_error] = std::from_chars(port_text.data(), port_text.data() + port_text.size(), port);
+  if (error || port_error != std::errc{} || end != port_text.data() + port_text.size()) return std::nullopt;
   return boost::asio::ip::tcp::endpoint(address, port);
 }
 
@@ -51,14 +51,15 @@
   list.version = number_field<long long>(object, "version", 0, std::numeric_limits<long long>::max());
   const auto* full = field(object, "full").if_bool();
   const auto* members = field(object, "servers").if_array();
-  if (full == nullptr || members == nullptr) throw Malformed("list: full or servers makes no sense");
+  if (full == nullptr || members == nullptr)
+    throw Malformed("member list: \"full\" is not a boolean or \"servers\" is not an array");
   list.full = *full;
-  for (const auto& member : *members) list.members.push_back(read_member(member));
+  for (const auto& member : *members) list.members.push_back(parse_member(member));
   return list;
 }
 
 MemberList parse_member_list(std::string_view text) {
-  return parse_member_list(parse_object(text, "the list"));
+  return parse_member_list(parse_object(text, "the member list"));
 }
 
 }  // namespace yoketurn
--- a/src/discovery/member_table.hpp
+++ b/src/discovery/member_table.hpp
@@ -1,5 +1,5 @@
-// The list of data nodes as it stands: whole lists replace it, changes are applied to it. A change costs the
-// same whatever the number of nodes.
+// The current list of data nodes. Full lists replace it and changes are applied to it. The cost of a change
+// doesn't depend on the number of nodes.
 #pragma once
 
 #include <cstddef>
@@ -13,15 +13,15 @@
 class MemberTable {
  public:
   void apply(const MemberList& list);
-  // No entry is gone, and none stands twice; in no particular order.
+  // The members in no particular order: each once, none of them removed.
   const MemberList& list() const { return list_; }
 
  private:
-  void put(const Member& member);
+  void insert_or_replace(const Member& member);
   void remove(const std::string& id);
 
   MemberList list_;
-  std::unordered_map<std::string, std::size_t> places_;  // in list_.members, by id
+  std::unordered_map<std::string, std::size_t> index_by_id_;  // into list_.members
 };
 
 }  // namespace yoketurn
--- a/src/discovery/node_ages.cpp
+++ b/src/discovery/node_ages.cpp
@@ -2,36 +2,38 @@
 
 namespace yoketurn {
 
-double NodeAges::age(double by_wall_clock, double now) const {
-  if (by_wall_clock < 0) return 0;
-  if (last_word_ > 0)
-    return by_wall_clock <= now - last_word_ + kMaxAnnouncementDelaySeconds ? by_wall_clock : 0;
+double NodeAges::plausible_age(double wall_clock_age, double now) const {
+  if (wall_clock_age < 0) return 0;
+  if (last_discovery_contact_ > 0) {
+    const auto max_age = now - last_discovery_contact_ + kMaxAnnouncementDelaySeconds;
+    return wall_clock_age <= max_age ? wall_clock_age : 0;
+  }
   const auto may_be_a_step =
-      by_wall_clock >= slow_start_ && by_wall_clock < kMaxClockStepSeconds + slow_start_;
-  return may_be_a_step ? 0 : by_wall_clock;
+      wall_clock_age >= slow_start_seconds_ && wall_clock_age < kMaxClockStepSeconds + slow_start_seconds_;
+  return may_be_a_step ? 0 : wall_clock_age;
 }
 
-double NodeAges::started_at(const std::string& id, WallTime started, double now, WallTime wall_now) {
-  if (started == WallTime{}) return 0;
-  const auto [at, is_new] = known_.try_emplace(id);
-  auto& known = at->second;
-  known.listed = true;
-  if (is_new || known.started != started) {
-    known.started = started;
-    known.born = now - age(span(started, wall_now), now);
+double NodeAges::started_at(const std::string& id, WallTime wall_started_at, double now, WallTime wall_now) {
+  if (wall_started_at == WallTime{}) return 0;
+  const auto [entry, is_new] = known_.try_emplace(id);
+  auto& node = entry->second;
+  node.listed = true;
+  if (is_new || node.wall_started_at != wall_started_at) {
+    node.wall_started_at = wall_started_at;
+    node.started_at = now - plausible_age(span(wall_started_at, wall_now), now);
   }
-  return known.born;
+  return node.started_at;
 }
 
 void NodeAges::node_removed(const std::string& id) {
-  const auto at = known_.find(id);
-  if (at == known_.end()) return;
-  at->second.listed = false;
-  left_.push_back(id);
-  if (left_.size() <= kMaxRemovedNodes) return;
-  if (const auto first = known_.find(left_.front()); first != known_.end() && !first->second.listed)
-    known_.erase(first);
-  left_.pop_front();
+  const auto entry = known_.find(id);
+  if (entry == known_.end()) return;
+  entry->second.listed = false;
+  removed_ids_.push_back(id);
+  if (removed_ids_.size() <= kMaxRemovedNodes) return;
+  if (const auto oldest = known_.find(removed_ids_.front()); oldest != known_.end() && !oldest->second.listed)
+    known_.erase(oldest);
+  removed_ids_.pop_front();
 }
 
 }  // namespace yoketurn
--- a/src/discovery/node_ages.hpp
+++ b/src/discovery/node_ages.hpp
@@ -1,16 +1,17 @@
 // When the processes of data nodes started, on this router's monotonic clock.
 //
-// Discovery tells a start as a time of the wall clock, which may be stepped by up to an hour, here or on the
-// machine that told it, before this process began or while it runs. A node that is taken for older than it is
-// would be overloaded in its slow start, so what can't be right counts as a start at this moment:
-// - A start that is learned while discovery is followed lies between the last word from there, less the
-// longest
-//   time that a start takes to be told, and now. Its age by the wall clock counts only where it is within
-//   that.
-// - At this router's own start nothing bounds it. An age that is shorter than the slow start counts; one that
-//   could have come about by a step does not; a longer one is long ago.
-// - A start in the future is one at this moment. A start of 0 is long ago, as the protocol has it.
-// What was learned of a process stays, whatever either clock does later. Times and spans are seconds.
+// Discovery reports the start of a node as a time of the wall clock. Wall clocks may be stepped by up to an
+// hour, here or on the machine that reported the start, before this process began or while it runs. A node
+// that is taken for older than it is would be overloaded in its slow start. So an implausible time counts as
+// a start now:
+// - A start that is learned while discovery is being followed lies between the last contact with discovery,
+//   less the longest time until a start is announced, and now. An age by the wall clock counts only if it is
+//   within that.
+// - When this router itself starts, there is no such bound. An age shorter than the slow start counts; one
+//   that may be the result of a step counts as a start now; a longer one means long ago.
+// - A start in the future counts as a start now. A start of 0 means long ago, as the protocol defines it.
+// What was learned of a process is kept, whatever either clock does later. Times and durations are in
+// seconds.
 #pragma once
 
 #include <cstddef>
@@ -24,29 +25,35 @@
 
 class NodeAges {
  public:
-  static constexpr double kMaxAnnouncementDelaySeconds = 10;  // from a node's start until discovery tells it
-  static constexpr double kMaxClockStepSeconds = 3600;        // of a wall clock
-  static constexpr std::size_t kMaxRemovedNodes = 1024;  // nodes that have left and may come back unchanged
-
-  explicit NodeAges(double slow_start) : slow_start_(slow_start) {}
-
-  // When the process of this node that started at this wall time did so on the monotonic clock; 0: long ago.
-  double started_at(const std::string& id, WallTime started, double now, WallTime wall_now);
-  void record_discovery_contact(double now) { last_word_ = now; }  // anything from discovery that is followed
-  void node_removed(const std::string& id);                        // no node of this name is listed any more
+  // From the start of a node until discovery reports it.
+  static constexpr double kMaxAnnouncementDelaySeconds = 10;
+  static constexpr double kMaxClockStepSeconds = 3600;  // of a wall clock
+  // Removed nodes whose starts are remembered, as they may come back without a restart.
+  static constexpr std::size_t kMaxRemovedNodes = 1024;
+
+  explicit NodeAges(double slow_start_seconds) : slow_start_seconds_(slow_start_seconds) {}
+
+  // The start of a node's process on the monotonic clock, from its start on the wall clock; 0: long ago.
+  // `now` and `wall_now` are the same moment on the two clocks.
+  double started_at(const std::string& id, WallTime wall_started_at, double now, WallTime wall_now);
+  // Anything was received from discovery, be it a heartbeat.
+  void record_discovery_contact(double now) { last_discovery_contact_ = now; }
+  // No node with this id is listed any more. Its start is kept for a while.
+  void node_removed(const std::string& id);
 
  private:
-  struct Known {
-    WallTime started;
-    double born = 0;
+  struct KnownNode {
+    WallTime wall_started_at;
+    double started_at = 0;
     bool listed = true;
   };
-  double age(double by_wall_clock, double now) const;
+  // Returns the age by the wall clock if it is plausible, else 0: a start now.
+  double plausible_age(double wall_clock_age, double now) const;
 
-  double slow_start_;
-  double last_word_ = 0;  // 0: nothing was heard yet
-  std::unordered_map<std::string, Known> known_;
-  std::deque<std::string> left_;  // in the order in which they did
+  double slow_start_seconds_;
+  double last_discovery_contact_ = 0;  // 0: none yet
+  std::unordered_map<std::string, KnownNode> known_;
+  std::deque<std::string> removed_ids_;  // in the order of removal
 };
 
 }  // namespace yoketurn
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -20,26 +20,30 @@
 
 namespace {
 
-constexpr double kHeartbeat = 2;  // the protocol's: an empty line comes so often
-// What a silent watch missed counts as told 6 s after its last word. Until then it has to be found silent,
-// and up to three new connections may be needed: one that hangs, one that ends at once, one that answers
-// slowly.
-constexpr double kSilence = kHeartbeat + 0.75;              // after which a watch is taken for broken
-constexpr std::array<double, 3> kFirstWordWithin{1, 2, 3};  // for a new connection's first word, by failures
-constexpr std::array<double, 5> kReopenAfter{0.01, 0.05, 0.1, 0.25,
-                                             0.5};  // until the next one is opened, by failures
-constexpr double kLasts = 1;                        // a connection that is open for so long was no failure
-constexpr double kReadsFirst = 0.01;                // until silence is judged again where words lie unread
-constexpr std::size_t kLongestList = 4 << 20;       // bytes; some 20,000 entries
-constexpr std::size_t kRing = 64 * 1024;
-
-template <std::size_t many>
-double by_failures(const std::array<double, many>& values, int failures) {
-  return values[std::min(static_cast<std::size_t>(std::max(failures, 0)), many - 1)];
+constexpr double kHeartbeatIntervalSeconds = 2;  // of the protocol: an empty line is sent that often
+// By the protocol, what a silent watch missed counts as reported 6 s after the last data on it. Within this
+// time the silence must be noticed, and up to three new connections may be needed: one that hangs, one that
+// is closed at once and one that responds slowly.
+constexpr double kSilenceTimeoutSeconds = kHeartbeatIntervalSeconds + 0.75;
+// For the first data on a new connection and for the delay before the next one is opened: by the number of
+// consecutive failures, the last value for all further ones.
+constexpr std::array<double, 3> kFirstDataTimeoutSeconds{1, 2, 3};
+constexpr std::array<double, 5> kReopenDelaySeconds{0.01, 0.05, 0.1, 0.25, 0.5};
+constexpr double kStableConnectionSeconds = 1;  // a connection that lasted longer doesn't count as a failure
+constexpr double kUnreadDataRecheckSeconds =
+    0.01;  // if the silence timer runs while data is unread in the socket
+constexpr std::size_t kMaxListBytes = 4 << 20;  // some 20,000 entries
+constexpr std::size_t kWatchBufferBytes = 64 * 1024;
+
+template <std::size_t size>
+double by_failures(const std::array<double, size>& values, int failures) {
+  return values[std::min(static_cast<std::size_t>(std::max(failures, 0)), size - 1)];
 }
 
 }  // namespace
 
+// One HTTP connection to the agent. Its pending handlers keep it alive; `watch` is reset when the watch has
+// given it up.
 struct DiscoveryWatch::Connection : std::enable_shared_from_this<DiscoveryWatch::Connection> {
   Connection(asio::io_context& context, DiscoveryWatch& owner) : socket(context), watch(&owner) {
     parser.body_limit(boost::none);
@@ -47,17 +51,17 @@
   }
 
   void fail(std::string_view why) {
-    if (watch != nullptr) watch->lost(why);
+    if (watch != nullptr) watch->lose_connection(why);
   }
-  void open(const asio::ip::tcp::endpoint& at) {
-    socket.async_connect(at, [self = shared_from_this()](const auto& error) {
+  void open(const asio::ip::tcp::endpoint& endpoint) {
+    socket.async_connect(endpoint, [self = shared_from_this()](const auto& error) {
       if (error) return self->fail(error.message());
       boost::system::error_code ignored;
       self->socket.non_blocking(true, ignored);
-      self->ask();
+      self->send_request();
     });
   }
-  void ask() {
+  void send_request() {
     asio::async_write(socket, asio::buffer(request), [self = shared_from_this()](const auto& error, auto) {
       if (error) return self->fail(error.message());
       self->read();
@@ -72,70 +76,70 @@
   }
   void read_some() {
     boost::system::error_code error;
-    const auto count = socket.read_some(ring.space(), error);
+    const auto count = socket.read_some(receive_buffer.space(), error);
     if (watch != nullptr && is_lack_of_memory(error))
-      return watch->due_.set_once(now() + kRetryAfterLack, weak_from_this(), &Connection::read);
+      return watch->timers_.set_once(now() + kRetryAfterLack, weak_from_this(), &Connection::read);
     if (is_transient(error)) return read();
     if (error) return fail(error.message());
-    ring.commit(count);
-    take();
+    receive_buffer.commit(count);
+    process_received();
   }
-  void take() {
-    while (ring.size() > 0 && !parser.is_done()) {
+  void process_received() {
+    while (receive_buffer.size() > 0 && !parser.is_done()) {
       boost::system::error_code error;
-      const auto used = parser.put(ring.data(), error);
-      ring.consume(used);
+      const auto used = parser.put(receive_buffer.data(), error);
+      receive_buffer.consume(used);
       if (error && error != http::error::need_more) return fail(error.message());
       if (parser.is_header_done() && parser.get().result() != http::status::ok) return fail("refused");
-      take_body();
+      process_body();
       if (watch == nullptr) return;
       if (used == 0) break;
     }
     if (parser.is_done()) return fail("ended");
-    if (ring.free() == 0 || list_size > kLongestList) return fail("list too long");
+    if (receive_buffer.free() == 0 || list_bytes > kMaxListBytes) return fail("list too long");
     read();
   }
-  // A list may stand on several lines. Only what is whole tells that the watch lives: an empty line between
-  // two lists, or the end of one.
-  void take_body() {
+  // A list may span several lines. Only complete items show that the watch is alive: an empty line between
+  // two lists or the end of a list.
+  void process_body() {
     const auto body = std::exchange(parser.get().body(), {});
     std::string_view rest(body);
     while (!rest.empty() && watch != nullptr) {
-      if (list_size == 0 && std::isspace(static_cast<unsigned char>(rest.front())) != 0) {
-        if (rest.front() == '\n') watch->heard();
+      if (list_bytes == 0 && std::isspace(static_cast<unsigned char>(rest.front())) != 0) {
+        if (rest.front() == '\n') watch->data_received();
         rest.remove_prefix(1);
         continue;
       }
       boost::system::error_code error;
-      const auto used = list.write_some(rest.data(), rest.size(), error);
-      if (error) return watch->unusable(error.message());
-      list_size += used;
+      const auto used = list_parser.write_some(rest.data(), rest.size(), error);
+      if (error) return watch->reject_list(error.message());
+      list_bytes += used;
       rest.remove_prefix(used);
-      if (!list.done()) continue;
-      list_size = 0;
-      const auto value = list.release();
-      list.reset();
-      watch->take_list(value);
+      if (!list_parser.done()) continue;
+      list_bytes = 0;
+      const auto value = list_parser.release();
+      list_parser.reset();
+      watch->process_list(value);
     }
   }
 
   asio::ip::tcp::socket socket;
-  DiscoveryWatch* watch;  // null: no longer wanted
+  DiscoveryWatch* watch;  // nullptr: the watch no longer uses this connection
   std::string request;
-  Ring ring{kRing};
+  Ring receive_buffer{kWatchBufferBytes};
   http::response_parser<http::string_body> parser;
-  boost::json::stream_parser list;  // the one that has begun to come
-  std::size_t list_size = 0;        // its bytes so far
+  boost::json::stream_parser list_parser;  // of the list that is being received
+  std::size_t list_bytes = 0;              // received of this list so far; 0: between two lists
 };
 
-DiscoveryWatch::DiscoveryWatch(asio::io_context& context, DueTimes& due, const asio::ip::tcp::endpoint& agent,
-                               Log& log, Listener& listener)
+DiscoveryWatch::DiscoveryWatch(asio::io_context& context, DueTimes& timers,
+                               const asio::ip::tcp::endpoint& agent, Log& log, Listener& listener)
     : context_(context),
-      due_(due),
+      timers_(timers),
       agent_(agent),
       log_(log),
       listener_(listener),
-      due_key_(due.fresh_key()) {}
+      timer_key_(timers.fresh_key()) {}
 
 DiscoveryWatch::~DiscoveryWatch() {
   if (connection_) connection_->watch = nullptr;
@@ -146,13 +150,13 @@
   open();
 }
 
-// Another agent may count its versions otherwise: its whole list is asked for, which then takes the place of
-// the one that is held.
+// Another agent may number its versions differently, so its full list is requested and replaces the current
+// one.
 void DiscoveryWatch::switch_to(const asio::ip::tcp::endpoint& agent) {
-  drop();
+  disconnect();
   agent_ = agent;
   version_.reset();
-  nonsense_ = false;
+  awaits_full_list_ = false;
   failures_ = 0;
   open();
 }
@@ -164,58 +168,60 @@
 
 void DiscoveryWatch::open() {
   opened_at_ = now();
-  heard_anything_ = false;
+  received_data_ = false;
   connection_ = std::make_shared<Connection>(context_, *this);
   const auto since = version_ ? fmt::format("&since={}", *version_) : "";
   connection_->request = fmt::format("GET /catalog/members?follow=1{} HTTP/1.1\r\nHost: {}:{}\r\n\r\n", since,
                                      agent_.address().to_string(), agent_.port());
   connection_->open(agent_);
-  await_word(by_failures(kFirstWordWithin, failures_));
+  start_silence_timer(by_failures(kFirstDataTimeoutSeconds, failures_));
 }
 
-void DiscoveryWatch::await_word(double patience) {
-  due_.set(due_key_, now() + patience, [this](double) {
-    if (has_unread_data()) return await_word(kReadsFirst);  // the router is behind, not discovery
-    lost("silence");
+void DiscoveryWatch::start_silence_timer(double timeout) {
+  timers_.set(timer_key_, now() + timeout, [this](double) {
+    // Data has arrived in time: the router is late, not discovery.
+    if (has_unread_data()) return start_silence_timer(kUnreadDataRecheckSeconds);
+    lose_connection("silence");
   });
 }
 
-void DiscoveryWatch::heard() {
-  heard_anything_ = true;
-  await_word(kSilence);
+void DiscoveryWatch::data_received() {
+  received_data_ = true;
+  start_silence_timer(kSilenceTimeoutSeconds);
   listener_.watch_data_received();
 }
 
-void DiscoveryWatch::take_list(const boost::json::value& value) {
+void DiscoveryWatch::process_list(const boost::json::value& value) {
   try {
-    if (!value.is_object()) throw Malformed("the list is no JSON object");
+    if (!value.is_object()) throw Malformed("the member list is not a JSON object");
     const auto list = parse_member_list(value.get_object());
-    const auto* const from = connection_.get();
-    take(list);
-    if (connection_.get() == from) heard();  // it was not left for another
+    const auto* const source = connection_.get();
+    accept_list(list);
+    // The listener may have switched to another connection.
+    if (connection_.get() == source) data_received();
   } catch (const Malformed& error) {
-    unusable(error.what());
+    reject_list(error.what());
   }
 }
 
-void DiscoveryWatch::take(const MemberList& list) {
-  if (!list.full && version_ && list.version <= *version_)
-    return listener_.stale_list_received(list);  // known
-  if (!list.full && nonsense_) return;           // changes to a list that has a gap
-  nonsense_ = false;
+void DiscoveryWatch::accept_list(const MemberList& list) {
+  if (!list.full && version_ && list.version <= *version_) return listener_.stale_list_received(list);
+  // After an unusable list changes are missing, so further changes can't be applied.
+  if (!list.full && awaits_full_list_) return;
+  awaits_full_list_ = false;
   version_ = list.version;
   listener_.list_received(list);
 }
 
-void DiscoveryWatch::unusable(std::string_view why) {
+void DiscoveryWatch::reject_list(std::string_view why) {
   log_.line("list_unusable", "why=\"{}\"", why);
-  nonsense_ = true;
+  awaits_full_list_ = true;
   version_.reset();
   listener_.list_unusable();
-  lost("nonsense");
+  lose_connection("nonsense");
 }
 
-void DiscoveryWatch::drop() {
+void DiscoveryWatch::disconnect() {
   if (!connection_) return;
   connection_->watch = nullptr;
   boost::system::error_code ignored;
@@ -223,12 +229,12 @@
   connection_.reset();
 }
 
-void DiscoveryWatch::lost(std::string_view why) {
-  drop();
+void DiscoveryWatch::lose_connection(std::string_view why) {
+  disconnect();
   log_.line("watch_lost", "why=\"{}\" version={}", why, version_.value_or(-1));
   listener_.watch_lost();
-  if (heard_anything_ && now() > opened_at_ + kLasts) failures_ = 0;
-  due_.set(due_key_, now() + by_failures(kReopenAfter, failures_++), [this](double) { open(); });
+  if (received_data_ && now() > opened_at_ + kStableConnectionSeconds) failures_ = 0;
+  timers_.set(timer_key_, now() + by_failures(kReopenDelaySeconds, failures_++), [this](double) { open(); });
 }
 
 }  // namespace yoketurn
--- a/src/discovery/watch.hpp
+++ b/src/discovery/watch.hpp
@@ -1,7 +1,7 @@
-// Follows discovery: one connection that stays open and brings lists or changes to them as JSON objects, with
-// an empty line as heartbeat between them. A watch that has fallen silent is opened anew soon enough that
-// what it missed is here within the 6 s after which the protocol counts it as told; see kSilence in
-// watch.cpp.
+// Follows discovery over one HTTP connection that stays open. Its body is a sequence of JSON objects, full
+// member lists or changes to them, with an empty line as a heartbeat in between. A watch that has fallen
+// silent is opened again soon enough that what it missed arrives within the 6 s after which the protocol
+// counts it as reported; see kSilenceTimeoutSeconds in watch.cpp.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,45 +26,49 @@
    public:
     virtual ~Listener() = default;
     virtual void list_received(const MemberList& list) = 0;
-    virtual void watch_lost() = 0;
-    virtual void watch_data_received() = 0;                        // anything, be it a heartbeat
-    virtual void stale_list_received(const MemberList& list) = 0;  // its count is not above the one held
-    virtual void list_unusable() = 0;                              // a list that could not be read
+    virtual void watch_lost() = 0;  // the connection was closed; the next one is opened after a delay
+    virtual void watch_data_received() = 0;  // a list, changes or a heartbeat
+    // Changes with a version that is not above the current one; they are ignored.
+    virtual void stale_list_received(const MemberList& list) = 0;
+    virtual void list_unusable() = 0;  // a list could not be parsed; the full list is requested again
   };
 
-  DiscoveryWatch(boost::asio::io_context& context, DueTimes& due, const boost::asio::ip::tcp::endpoint& agent,
-                 Log& log, Listener& listener);
+  DiscoveryWatch(boost::asio::io_context& context, DueTimes& timers,
+                 const boost::asio::ip::tcp::endpoint& agent, Log& log, Listener& listener);
   ~DiscoveryWatch();
 
+  // Starts to follow the agent, from the version after the known one. nullopt: with the full list.
   void start(std::optional<long long> known_version);
-  void switch_to(const boost::asio::ip::tcp::endpoint& agent);  // in place of the one before, at once
-  void request_full_list() { switch_to(agent_); }               // the whole list, on a new connection
-  bool has_unread_data() const;  // whether words lie there that were not read yet
+  // Closes the connection and follows another agent, starting with its full list.
+  void switch_to(const boost::asio::ip::tcp::endpoint& agent);
+  // Requests the full list from the same agent, on a new connection.
+  void request_full_list() { switch_to(agent_); }
+  bool has_unread_data() const;  // in the socket
 
  private:
   struct Connection;
 
   void open();
-  void await_word(double patience);
-  void heard();
-  void take_list(const boost::json::value& value);
-  void take(const MemberList& list);
-  void unusable(std::string_view why);
-  void drop();
-  void lost(std::string_view why);
+  void start_silence_timer(double timeout);
+  void data_received();
+  void process_list(const boost::json::value& value);
+  void accept_list(const MemberList& list);
+  void reject_list(std::string_view why);
+  void disconnect();
+  void lose_connection(std::string_view why);
 
   boost::asio::io_context& context_;
-  DueTimes& due_;
+  DueTimes& timers_;
   boost::asio::ip::tcp::endpoint agent_;
   Log& log_;
   Listener& listener_;
-  DueTimes::Key due_key_;
-  std::optional<long long> version_;
+  DueTimes::Key timer_key_;           // silence timeout, or the delay until the connection is opened again
+  std::optional<long long> version_;  // of the last list or changes; nullopt: the full list is requested
   std::shared_ptr<Connection> connection_;
-  bool nonsense_ = false;  // the last list could not be used: the whole one is asked for again
-  int failures_ = 0;       // connections in a row that did not last
+  bool awaits_full_list_ = false;  // after an unusable list, changes are ignored until a full list arrives
+  int failures_ = 0;               // consecutive connections that failed early
   double opened_at_ = 0;
-  bool heard_anything_ = false;  // on the connection that is open
+  bool received_data_ = false;  // on the current connection
 };
 
 }  // namespace yoketurn
