--- a/tests/member_table_test.cpp
+++ b/tests/member_table_test.cpp
@@ -19,9 +19,10 @@
   return result;
 }
 
-std::map<std::string, int> cells(const MemberTable& table) {
+std::map<std::string, int> cells_by_id(const MemberTable& table) {
   std::map<std::string, int> result;
-  for (const auto& held : table.list().members) CHECK(result.emplace(held.id, held.cell).second);
+  // No id may be listed twice.
+  for (const auto& listed : table.list().members) CHECK(result.emplace(listed.id, listed.cell).second);
   return result;
 }
 
@@ -29,7 +30,7 @@
 
 TEST_SUITE_BEGIN("network");
 
-TEST_CASE("a table of members holds what whole lists and changes have told, each node once") {
+TEST_CASE("a member table reflects full lists and changes, with each node once") {
   std::mt19937 random(7);
   MemberTable table;
   std::map<std::string, int> expected;
@@ -46,31 +47,32 @@
       removed ? void(expected.erase(id)) : void(expected[id] = cell);
     }
     table.apply(list);
-    REQUIRE(cells(table) == expected);
+    REQUIRE(cells_by_id(table) == expected);
     CHECK(table.list().version == round);
   }
 }
 
-// The time that a list of many nodes takes, to the time for a sixteenth of them. It grew with the square:
-// each entry was looked for among all.
-TEST_CASE("what a change to a table of members costs does not grow with the number of nodes") {
+// Compares the time that a list takes with the time for a list of a sixteenth of its nodes. If each entry is
+// looked up by a linear search, the time grows with the square of the number of nodes.
+TEST_CASE("the cost of a change to a member table does not grow with the number of nodes") {
   const auto seconds = [](int nodes) {
     MemberList list;
     list.full = true;
     for (int i = 0; i < nodes; ++i) list.members.push_back(member("node-" + std::to_string(i), i % 8));
-    auto best = 1e9;
+    auto best_seconds = 1e9;
     for (int round = 0; round < 5; ++round) {
       MemberTable table;
-      const auto began = std::chrono::steady_clock::now();
+      const auto started_at = std::chrono::steady_clock::now();
       table.apply(list);
       list.full = false;
       table.apply(list);
       list.full = true;
-      best = std::min(best, std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count());
+      best_seconds = std::min(
+          best_seconds, std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count());
     }
-    return best;
+    return best_seconds;
   };
-  CHECK(seconds(16'000) < 80 * seconds(1'000));  // 16 times if it is linear, 256 times if it is square
+  CHECK(seconds(16'000) < 80 * seconds(1'000));  // linear: 16 times, quadratic: 256 times
 }
 
 TEST_SUITE_END();
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-std::string read_all(Ring& ring) {
+std::string drain(Ring& ring) {
   std::string text(ring.size(), ' ');
   ring.peek(0, text.data(), text.size());
   ring.consume(text.size());
@@ -37,22 +37,22 @@
     Ring ring(8);
     CHECK(ring.put(std::string(start, '.')));
     CHECK(ring.put("a"));
-    ring.consume(start);  // what is left begins at every place of the ring in turn
+    ring.consume(start);  // so that the rest begins at each position of the ring in turn
     CHECK(ring.put("bcdefgh"));
     CHECK(!ring.put("i"));
     CHECK(ring.free() == 0);
     const auto spans = ring.data();
     CHECK(spans[0].size() + spans[1].size() == 8);
-    CHECK(read_all(ring) == "abcdefgh");
+    CHECK(drain(ring) == "abcdefgh");
     ring.release();
     CHECK(ring.put("again"));
-    CHECK(read_all(ring) == "again");
+    CHECK(drain(ring) == "again");
   }
 }
 
 namespace {
 
-struct Ends : ConnectionPool::Listener {
+struct RecordedOutcomes : ConnectionPool::Listener {
   void call_ended(const CallRef& ref, Outcome outcome, double, std::string_view) override {
     ended.emplace_back(ref.leaf, outcome);
   }
@@ -64,106 +64,110 @@
   std::vector<std::pair<int, Outcome>> ended;
 };
 
-// A pool with one node, on its own clock and loop.
-struct Sending {
-  Sending(boost::asio::io_context& loop, const toy::tcp::endpoint& node) : context(loop) {
+// A pool that knows one node. The pool and its timers run only in run_until_ended.
+struct PoolWithOneNode {
+  PoolWithOneNode(boost::asio::io_context& loop, const toy::tcp::endpoint& node) : context(loop) {
     pool.set_node(0, node, 0, false);
   }
-  void send(int leaf, double timeout, double by) {
+  void send(int leaf, double timeout, double send_timeout) {
     const auto id = "a." + std::to_string(leaf);
-    pool.send(0, 0, {{1, leaf, 0}, id, leaf, "", std::make_shared<const std::string>("q")}, timeout, by);
+    pool.send(0, 0, {{1, leaf, 0}, id, leaf, "", std::make_shared<const std::string>("q")}, timeout,
+              send_timeout);
   }
-  void until_ended(std::size_t many) {
-    for (const auto began = now(); ends.ended.size() < many && now() < began + 5;) {
+  void run_until_ended(std::size_t count) {
+    for (const auto started_at = now(); outcomes.ended.size() < count && now() < started_at + 5;) {
       context.restart();
       context.run_for(std::chrono::milliseconds(5));
       due.run(now());
     }
-    REQUIRE(ends.ended.size() == many);
+    REQUIRE(outcomes.ended.size() == count);
   }
   boost::asio::io_context& context;
   DueTimes due;
-  Ends ends;
+  RecordedOutcomes outcomes;
   Log log{stderr, {false, spdlog::level::off, 16}};
-  ConnectionPool pool{context, due, {10, 1, 1, 15}, 10, log, ends};
+  ConnectionPool pool{context, due, {10, 1, 1, 15}, 10, log, outcomes};
 };
 
-constexpr auto kAnyTime = std::numeric_limits<double>::infinity();
+constexpr auto kNoSendTimeout = std::numeric_limits<double>::infinity();
 
 }  // namespace
 
-// A deduplicated part that was given to a connection still coming up left with it, after its window: nodes
-// take it for another effect then.
-TEST_CASE("what may leave only for so long never leaves later, however late its connection comes up") {
+// Guards against late sends of deduplicated parts: a part that is queued on a connection that is still being
+// established would be sent once that is done, after the window of the part, and nodes would execute it
+// again.
+TEST_CASE("a part is not sent after its send timeout, however late its connection is established") {
   boost::asio::io_context context;
-  toy::tcp::acceptor deaf(context);
+  toy::tcp::acceptor full_acceptor(context);
   const toy::tcp::endpoint any(boost::asio::ip::address_v4::loopback(), 0);
-  deaf.open(any.protocol());
-  deaf.bind(any);
-  deaf.listen(0);  // what it has not accepted fills it: further connections stay pending
-  std::vector<toy::tcp::socket> filling;
+  full_acceptor.open(any.protocol());
+  full_acceptor.bind(any);
+  full_acceptor.listen(0);  // its backlog is filled below: further connections stay pending
+  std::vector<toy::tcp::socket> backlog;
   for (int i = 0; i < 4; ++i) {
-    filling.emplace_back(context);
-    filling.back().async_connect(deaf.local_endpoint(), [](const auto&) {});
+    backlog.emplace_back(context);
+    backlog.back().async_connect(full_acceptor.local_endpoint(), [](const auto&) {});
   }
   context.run_for(std::chrono::milliseconds(50));
-  Sending sending(context, deaf.local_endpoint());
-  sending.send(0, 0.9, 0.05);
-  sending.send(1, 0.3, kAnyTime);
-  sending.pool.flush();
-  sending.until_ended(2);
-  CHECK(sending.ends.ended[0] == std::pair(0, Outcome::unsent));
-  CHECK(sending.ends.ended[1] == std::pair(1, Outcome::unreachable));
-  CHECK(sending.due.size() <= 1);  // that of the connection
+  PoolWithOneNode router(context, full_acceptor.local_endpoint());
+  router.send(0, 0.9, 0.05);
+  router.send(1, 0.3, kNoSendTimeout);
+  router.pool.flush();
+  router.run_until_ended(2);
+  CHECK(router.outcomes.ended[0] == std::pair(0, Outcome::unsent));
+  CHECK(router.outcomes.ended[1] == std::pair(1, Outcome::unreachable));
+  CHECK(router.due.size() <= 1);  // the timer of the connection
 }
 
-// A router that stood still finds its connections up before it looks at the clock.
-TEST_CASE("what may leave only for so long does not leave on a connection found up after a standstill") {
+// After a standstill of the router the connection is found established before the timers of the parts have
+// run.
+TEST_CASE(
+    "a part is not sent after its send timeout on a connection that was established during a standstill") {
   boost::asio::io_context context;
   toy::DataNode node(context);
-  Sending sending(context, node.at());
-  sending.send(0, 0.9, 0.05);
-  sending.send(1, 0.05, kAnyTime);
-  sending.send(2, 3, kAnyTime);
-  sending.pool.flush();
+  PoolWithOneNode router(context, node.at());
+  router.send(0, 0.9, 0.05);
+  router.send(1, 0.05, kNoSendTimeout);
+  router.send(2, 3, kNoSendTimeout);
+  router.pool.flush();
   std::this_thread::sleep_for(std::chrono::milliseconds(150));
-  sending.until_ended(3);
-  CHECK(sending.ends.ended[0] == std::pair(0, Outcome::unsent));
-  CHECK(sending.ends.ended[1] == std::pair(1, Outcome::unsent));
-  CHECK(sending.ends.ended[2] == std::pair(2, Outcome::success));
+  router.run_until_ended(3);
+  CHECK(router.outcomes.ended[0] == std::pair(0, Outcome::unsent));
+  CHECK(router.outcomes.ended[1] == std::pair(1, Outcome::unsent));
+  CHECK(router.outcomes.ended[2] == std::pair(2, Outcome::success));
   REQUIRE(node.parts.size() == 1);
   CHECK(node.parts[0].shard == 2);
 }
 
-TEST_CASE("frames are whole wherever they are cut, and unusable ones are told") {
-  const auto both = encode_frame('R', "a.1 done 7 -\nv") + encode_frame('F', "");
-  for (std::size_t cut = 0; cut <= both.size(); ++cut) {
+TEST_CASE("frames are decoded however their bytes are split, and malformed ones are detected") {
+  const auto two_frames = encode_frame('R', "a.1 done 7 -\nv") + encode_frame('F', "");
+  for (std::size_t cut = 0; cut <= two_frames.size(); ++cut) {
     Ring ring(kMaxFrameBytes);
-    std::string seen;
-    Frame got;
-    for (const auto& piece : {both.substr(0, cut), both.substr(cut)}) {
+    std::string decoded;
+    Frame frame;
+    for (const auto& piece : {two_frames.substr(0, cut), two_frames.substr(cut)}) {
       ring.put(piece);
-      while (decode_frame(ring, got) == FrameStatus::complete) seen += got.type + got.payload + "|";
+      while (decode_frame(ring, frame) == FrameStatus::complete) decoded += frame.type + frame.payload + "|";
     }
-    CHECK(seen == "Ra.1 done 7 -\nv|F|");
+    CHECK(decoded == "Ra.1 done 7 -\nv|F|");
   }
   for (const auto& head : {std::string("\0\0\0\0", 4), std::string("\x7f\0\0\1", 4)}) {
     Ring ring(kMaxFrameBytes);
-    Frame got;
+    Frame frame;
     ring.put(head);
-    CHECK(decode_frame(ring, got) == FrameStatus::malformed);
+    CHECK(decode_frame(ring, frame) == FrameStatus::malformed);
   }
 }
 
 TEST_CASE("a call's frame holds each part's line and text") {
   const PartRequest parts[] = {{"9b.3", 3, "d=240,k=5c", "c41e77d0"}, {"9b.4", 4, "d=240", "x\ny"}};
-  const auto rest = std::string("9b.3 3 d=240,k=5c 8\nc41e77d09b.4 4 d=240 3\nx\ny");
-  CHECK(encode_call_frame(parts) == std::string("\0\0\0\x2fS", 5) + rest);
+  const auto payload = std::string("9b.3 3 d=240,k=5c 8\nc41e77d09b.4 4 d=240 3\nx\ny");
+  CHECK(encode_call_frame(parts) == std::string("\0\0\0\x2fS", 5) + payload);
 }
 
-TEST_CASE("answers of nodes") {
+TEST_CASE("the answers of nodes are parsed, and malformed ones are refused") {
   struct Row {
-    const char* rest;
+    const char* payload;
     bool usable;
     Outcome outcome;
     double score;
@@ -182,8 +186,8 @@
       {"\n", false, Outcome::failure, 0, ""},
   };
   for (const auto& row : rows) {
-    CAPTURE(row.rest);
-    const auto answer = parse_part_answer(row.rest);
+    CAPTURE(row.payload);
+    const auto answer = parse_part_answer(row.payload);
     REQUIRE(answer.has_value() == row.usable);
     if (!answer) continue;
     CHECK(answer->id == "9b.3");
@@ -193,10 +197,10 @@
   }
 }
 
-TEST_CASE("lists that make no sense are told, and what is unknown in one is left out of account") {
+TEST_CASE("invalid member lists are refused, and unknown fields are ignored") {
   const auto at = toy::tcp::endpoint(boost::asio::ip::address_v4::loopback(), 8081);
-  const auto good = toy::Discovery::list(41, false, {toy::Discovery::entry("s-1", at, 3, "draining")});
-  const auto list = parse_member_list(good);
+  const auto valid = toy::Discovery::list(41, false, {toy::Discovery::entry("s-1", at, 3, "draining")});
+  const auto list = parse_member_list(valid);
   CHECK(list.version == 41);
   CHECK(!list.full);
   REQUIRE(list.members.size() == 1);
@@ -204,7 +208,7 @@
   CHECK(list.members[0].cell == 3);
   CHECK(!list.members[0].up);
   CHECK(!list.members[0].removed);
-  const std::pair<const char*, const char*> wrong[] = {
+  const std::pair<const char*, const char*> invalid_replacements[] = {
       {"draining", "asleep"},
       {"127.0.0.1:8081", "nowhere"},
       {"127.0.0.1:8081", "127.0.0.1:99999"},
@@ -216,15 +220,15 @@
       {"[{", "[7,{"},
       {"{\"version\"", "{{\"version\""},
   };
-  for (const auto& [from, to] : wrong) {
+  for (const auto& [from, to] : invalid_replacements) {
     CAPTURE(to);
-    auto bad = good;
-    bad.replace(bad.find(from), std::string(from).size(), to);
-    CHECK_THROWS_AS(parse_member_list(bad), Malformed);
+    auto invalid = valid;
+    invalid.replace(invalid.find(from), std::string(from).size(), to);
+    CHECK_THROWS_AS(parse_member_list(invalid), Malformed);
   }
 }
 
-TEST_CASE("settings as nested JSON read as the wire's pairs do") {
+TEST_CASE("settings as nested JSON are read like the key=value pairs of the wire") {
   const auto config = read_config(valid_config());
   CHECK(config.seed == 0x8c1f30d27a5be964);
   CHECK(config.known.version == 4);
@@ -241,9 +245,9 @@
   CHECK(names(wire, "classes") == std::vector<std::string>{"look"});
 }
 
-TEST_CASE("a configuration that is missing or broken is told") {
+TEST_CASE("a configuration that is missing or invalid is refused") {
   CHECK_THROWS_AS(load_config("/nonexistent/config.json"), Malformed);
-  const std::pair<const char*, const char*> wrong[] = {
+  const std::pair<const char*, const char*> invalid_replacements[] = {
       {"{", "["},
       {"\"seed\":\"8c", "\"seed\":\"zz"},
       {"\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1\""},
@@ -253,21 +257,21 @@
       {"\"known\":{\"version\":4", "\"known\":{\"version\":[]"},
       {"\"settings\"", "\"setting\""},
   };
-  for (const auto& [from, to] : wrong) {
+  for (const auto& [from, to] : invalid_replacements) {
     CAPTURE(to);
-    auto bad = valid_config();
-    bad.replace(bad.find(from), std::string(from).size(), to);
-    CHECK_THROWS_AS(read_config(bad), Malformed);
+    auto invalid = valid_config();
+    invalid.replace(invalid.find(from), std::string(from).size(), to);
+    CHECK_THROWS_AS(read_config(invalid), Malformed);
   }
 }
 
-TEST_CASE("values are passed on as the nodes gave them") {
+TEST_CASE("values are passed on unchanged from the nodes") {
   const auto body = answer_body(false, {{3, "5be2\"\\\n"}, {9, ""}});
   CHECK(body ==
         R"({"whole":false,"results":[{"partition":3,"value":"5be2\"\\\n"},{"partition":9,"value":""}]})");
 }
 
-TEST_CASE("a log line stays one line of bounded length, and a flood of them is summed up") {
+TEST_CASE("a log line stays one line of bounded length, and excess lines of one event are summarized") {
   char* text = nullptr;
   std::size_t size = 0;
   std::FILE* file = open_memstream(&text, &size);
@@ -276,10 +280,10 @@
   for (int i = 0; i < 1000; ++i) log.line("flood", "n={}", i);
   log.write_summaries(10);
   std::fclose(file);
-  const std::string said(text, size);
+  const std::string output(text, size);
   std::free(text);
-  CHECK(said.find(" odd why=\"a bxxx") != std::string::npos);
-  CHECK(said.find('\n') < 1100);
-  CHECK(std::count(said.begin(), said.end(), '\n') == 22);
-  CHECK(said.find("flood held_back=980") != std::string::npos);
+  CHECK(output.find(" odd why=\"a bxxx") != std::string::npos);
+  CHECK(output.find('\n') < 1100);
+  CHECK(std::count(output.begin(), output.end(), '\n') == 22);
+  CHECK(output.find("flood held_back=980") != std::string::npos);
 }
