--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -78,15 +78,15 @@
     for (const auto started_at = now(); outcomes.ended.size() < count && now() < started_at + 5;) {
       context.restart();
       context.run_for(std::chrono::milliseconds(5));
-      due.run(now());
+      timers.run(now());
     }
     REQUIRE(outcomes.ended.size() == count);
   }
   boost::asio::io_context& context;
-  DueTimes due;
+  DueTimes timers;
   RecordedOutcomes outcomes;
   Log log{stderr, {false, spdlog::level::off, 16}};
-  ConnectionPool pool{context, due, {10, 1, 1, 15}, 10, log, outcomes};
+  ConnectionPool pool{context, timers, {10, 1, 1, 15}, 10, log, outcomes};
 };
 
 constexpr auto kNoSendTimeout = std::numeric_limits<double>::infinity();
@@ -116,7 +116,7 @@
   router.run_until_ended(2);
   CHECK(router.outcomes.ended[0] == std::pair(0, Outcome::unsent));
   CHECK(router.outcomes.ended[1] == std::pair(1, Outcome::unreachable));
-  CHECK(router.due.size() <= 1);  // the timer of the connection
+  CHECK(router.timers.size() <= 1);  // the timer of the connection
 }
 
 // After a standstill of the router the connection is found established before the timers of the parts have
--- a/tests/node_connection_test.cpp
+++ b/tests/node_connection_test.cpp
@@ -58,7 +58,7 @@
          std::chrono::steady_clock::now() < end;) {
       context.restart();
       context.run_for(std::chrono::milliseconds(1));
-      due.run(now());
+      timers.run(now());
     }
   }
   // Returns false if the condition does not hold within 5 s.
@@ -96,11 +96,11 @@
 
   asio::io_context context;
   tcp::acceptor acceptor{context, kLoopback};
-  DueTimes due;
+  DueTimes timers;
   Outcomes outcomes;
   Log log{stderr, {false, spdlog::level::off, 16}};
   NodeConnection::Limits limits;
-  ConnectionPool pool{context, due, limits, 10, log, outcomes};
+  ConnectionPool pool{context, timers, limits, 10, log, outcomes};
 };
 
 void answer(tcp::socket& node, std::string_view id) {
