--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -14,24 +14,24 @@
 namespace yoketurn {
 
 inline constexpr int kNone = -1;
-inline constexpr std::size_t kMostJudged = 512;
+inline constexpr std::size_t kMaxTraceEntries = 512;
 // For so long, in seconds, a router may be held up between reading its clock and writing. Times in which
 // something may be sent end so much earlier.
-inline constexpr double kLongestHoldUp = 0.15;
+inline constexpr double kMaxSendStallSeconds = 0.15;
 
 enum class Effect { repeatable, deduplicated, side_effecting };
 
 struct Vertical {
-  double slo = 0;          // an answer within it earns the full utility
+  double slo_time = 0;     // an answer within it earns the full utility
   double slo_stretch = 0;  // plus this multiple of the query's own work
   double utility = 1;
   double late_utility = 0;  // share of the utility after the SLO time
   Effect effect = Effect::repeatable;
-  double window = 0;  // deduplicated: repeats are dropped for so long
-  double least = 1;   // share of the weight below which nothing may be merged
-  double whole = 1;   // share of the weight that makes a whole answer
-  double partial_earns = 0;
-  int second_step = 0;  // parts of the second step
+  double dedup_window = 0;     // deduplicated: repeats are dropped for so long
+  double min_merge_share = 1;  // share of the weight below which nothing may be merged
+  double complete_share = 1;   // share of the weight that makes a whole answer
+  double partial_utility = 0;
+  int second_step_parts = 0;  // parts of the second step
 };
 
 struct Customer {
@@ -41,35 +41,35 @@
 struct Settings {
   std::vector<Vertical> verticals;
   std::vector<Customer> customers;
-  int routers = 1;
+  int router_count = 1;
   int zone = kNone;
-  double tick = 0;  // the least time between two rounds
+  double timer_resolution = 0;  // the least time between two rounds
   int max_calls = 1;
   bool may_copy = false;
   bool may_cancel = false;
-  bool may_tell = false;  // the other routers of the tier can be told of what was sent
-  bool must_ask_list = false;
-  double max_stay_away = 0;
-  double over_share = 1;  // utility of what goes over a customer's share
+  bool may_send_peer_reports = false;  // the other routers of the tier can be told of what was sent
+  bool must_request_node_list = false;
+  double max_retry_after = 0;
+  double over_quota_utility = 1;  // utility of what goes over a customer's share
   bool utility_by_work = false;
-  int parts_a_call = 1;
-  int cells = 1;
-  int span = 1;  // cells that hold a shard, from cell (shard mod cells) on
+  int max_parts_per_call = 1;
+  int cell_count = 1;
+  int cells_per_shard = 1;  // cells that hold a shard, from cell (shard mod cells) on
   double start_capacity = 1;
-  double cold_time = 0;
-  double fall_multiple = 1;
-  double fall_time = 0;
-  double extra_span = 0;  // 0: no budget is stated
-  double extra_free = 0;
-  double extra_share = 0;
+  double slow_start_time = 0;
+  double overload_multiple = 1;
+  double overload_time = 0;
+  double retry_budget_window = 0;  // 0: no budget is stated
+  double retry_budget_min = 0;
+  double retry_budget_ratio = 0;
 };
 
-struct Host {
+struct DiscoveredNode {
   int node = kNone;
   int zone = kNone;
   int cell = 0;
-  bool up = true;   // false: draining or gone
-  double born = 0;  // 0: long ago
+  bool up = true;         // false: draining or gone
+  double started_at = 0;  // 0: long ago
 };
 
 enum class Outcome {
@@ -79,16 +79,17 @@
   overloaded,
   timed_out,
   unreachable,
-  broken,
-  spoilt,  // the answer, or another on its connection, could not be read: the node lives, and may have run it
+  disconnected,
+  malformed,  // the answer, or another on its connection, could not be read: the node lives, and may have run
+              // it
   cancelled,
   unsent
 };
 
 struct Call {
   int node = kNone;
-  int group = kNone;  // calls of one group travel together
-  double sent = 0;
+  int batch = kNone;  // calls of one group travel together
+  double sent_at = 0;
   Outcome outcome = Outcome::pending;
 
   bool pending() const { return outcome == Outcome::pending; }
@@ -100,9 +101,9 @@
 struct Leaf {
   int shard = 0;
   double weight = 0;
-  double work = 0;  // hint; 0: unknown
+  double work_hint = 0;  // hint; 0: unknown
   int step = 1;
-  bool in = false;  // its answer has arrived
+  bool answered = false;  // its answer has arrived
   std::vector<Call> calls;
 
   bool any_pending() const { return std::any_of(calls.begin(), calls.end(), std::mem_fn(&Call::pending)); }
@@ -117,168 +118,172 @@
 enum class Reason : std::uint8_t {
   none,
   // A part is sent: score of the chosen node, of the next best (infinite: there is none), the hedge delay.
-  first,
-  copy,          // late by the hedge delay
-  lost_again,    // its call is taken for lost
-  failed_again,  // each of its calls has ended
+  first_call,
+  copy,           // late by the hedge delay
+  resent_lost,    // its call is taken for lost
+  resent_failed,  // each of its calls has ended
   // A call is cancelled: its age.
-  race_lost,    // the part is in
-  lost_answer,  // it goes out again elsewhere
+  race_lost,      // the part is in
+  presumed_lost,  // it goes out again elsewhere
   // A part waits.
-  on_time,       // its call is out and not late: its age, the hedge delay
-  copies_spent,  // it is late, but a tenth of the parts were copied: copies, parts sent
-  none_quicker,  // the best other node would not answer soon enough: its score, the bound
-  none_left,     // no node that holds it may be sent it now
-  paused,        // only nodes that have failed it are left: until it goes out again
-  calls_spent,   // it has had its most calls: their number
-  extras_spent,  // the budget of further calls: spent, most
-  may_have_run,  // a further call could have its effect twice
+  within_hedge_delay,  // its call is out and not late: its age, the hedge delay
+  copy_budget_spent,   // it is late, but a tenth of the parts were copied: copies, parts sent
+  no_faster_node,      // the best other node would not answer soon enough: its score, the bound
+  no_node_left,        // no node that holds it may be sent it now
+  retry_delayed,       // only nodes that have failed it are left: until it goes out again
+  max_calls_reached,   // it has had its most calls: their number
+  retry_budget_spent,  // the budget of further calls: spent, most
+  may_have_run,        // a further call could have its effect twice
   // A node is passed over.
-  dearer,   // its score, that of the best
-  down,     // draining or gone
-  cold,     // parts it was sent, parts it may be sent
-  suspect,  // its score without the suspicion, until when it is left alone, parts waiting there
-  tried,    // the part has been there
+  worse_score,    // its score, that of the best
+  unavailable,    // draining or gone
+  slow_start,     // parts it was sent, parts it may be sent
+  suspect,        // its score without the suspicion, until when it is left alone, parts waiting there
+  already_tried,  // the part has been there
   // A query ends.
-  whole,         // share that is in
-  share,         // enough is in and nothing more is worth the wait: share that is in
-  no_room,       // too many in hand
-  strained,      // foretold latency to the time of a step, prospect, chance of the refusal
-  hopeless,      // the same
-  out_of_reach,  // the same: too few of its parts have a node to go to
-  time_over,     // share that is in
-  cannot_reach,  // share that is in, share that may still come
+  complete,           // share that is in
+  partial,            // enough is in and nothing more is worth the wait: share that is in
+  too_many_pending,   // too many in hand
+  overloaded,         // foretold latency to the time of a step, prospect, chance of the refusal
+  unlikely_in_time,   // the same
+  too_few_reachable,  // the same: too few of its parts have a node to go to
+  deadline_passed,    // share that is in
+  share_unreachable,  // share that is in, share that may still come
   // A node is passed over for its site: the share that this gets, how long ago it was lost.
-  away,
-  shut_out,  // a query ends: this router takes none, or few, for now
+  site_avoided,
+  router_refusing,  // a query ends: this router takes none, or few, for now
 };
 
 struct Query {
   int vertical = 0;
   int customer = kNone;
-  double taken = 0;
-  double expires = 0;
-  double work = 0;  // hint; 0: unknown
+  double received_at = 0;
+  double deadline = 0;
+  double work_hint = 0;  // hint; 0: unknown
   bool client_retry = false;
-  Reason barred = Reason::none;  // why it is not taken, whatever it is worth
+  Reason forced_rejection = Reason::none;  // why it is not taken, whatever it is worth
   bool admitted = false;
   int step = 1;
-  int awaited = 0;           // parts of this step that have not been named yet
-  bool first_whole = false;  // the first step was merged whole
+  int parts_expected = 0;            // parts of this step that have not been named yet
+  bool first_step_complete = false;  // the first step was merged whole
   bool ended = false;
   std::vector<Leaf> leaves;
 };
 
-struct Why {
+struct Explanation {
   Reason reason = Reason::none;
   float a = 0, b = 0, c = 0;
 };
 
-constexpr Why why(Reason reason, double a = 0, double b = 0, double c = 0) {
+constexpr Explanation explain(Reason reason, double a = 0, double b = 0, double c = 0) {
   return {reason, static_cast<float>(a), static_cast<float>(b), static_cast<float>(c)};
 }
 
 // A choice that names no message: a node that is passed over for a part, or a part that waits (no node).
-struct Judged {
+struct DecisionTraceEntry {
   int leaf = 0;
   int node = kNone;
-  int taken = kNone;  // the node that was better
-  Why why;
+  int chosen_node = kNone;  // the node that was better
+  Explanation explanation;
 };
 
 struct Send {
   int leaf = 0;
   int node = kNone;
-  int group = kNone;
+  int batch = kNone;
   double timeout = 0;
-  Why why;
-  double by = std::numeric_limits<double>::infinity();  // its first byte leaves within so long, or never
+  Explanation explanation;
+  double max_send_delay =
+      std::numeric_limits<double>::infinity();  // its first byte leaves within so long, or never
 };
 
 struct Cancel {
   int leaf = 0;
   int call = 0;
-  Why why;
+  Explanation explanation;
 };
 
-enum class End { none, merge_whole, merge_part, reject, abort };
+enum class QueryEnd { none, merge_complete, merge_partial, reject, abort };
 
 // What to do for a query: cancels first, then the sends, then the end. Every named send counts as sent.
-struct Answer {
+struct Decision {
   std::vector<Cancel> cancels;
   std::vector<Send> sends;
-  End end = End::none;
-  double stay_away = 0;
-  Why why;  // of the end
+  QueryEnd query_end = QueryEnd::none;
+  double retry_after = 0;
+  Explanation explanation;  // of the end
 };
 
 // What routers tell each other: a part was sent to a node, or a call there has ended.
-struct Word {
+struct PeerReport {
   int node = kNone;
-  double took = 0;  // what is taken for the latency of the call that ended; 0: one was sent
+  double latency = 0;  // what is taken for the latency of the call that ended; 0: one was sent
 };
 
 // What a site (a zone of the list) may get, as src/sites believes.
 struct SiteShare {
-  bool lost = false;   // nothing, but for a trial
-  bool trial = false;  // a part may be sent there to see
-  double share = 1;    // of what its nodes would get by their scores
-  double since = 0;    // when it was lost: a process born later is not judged by that
+  bool lost = false;           // nothing, but for a trial
+  bool probe_allowed = false;  // a part may be sent there to see
+  double share = 1;            // of what its nodes would get by their scores
+  double lost_at = 0;          // when it was lost: a process born later is not judged by that
 };
 
 // What is believed of a node.
-enum class Belief : std::uint8_t { unheard, trusted, cold, suspect, on_trial };
+enum class NodeHealth : std::uint8_t { unknown, healthy, slow_start, suspect, probing };
 
 // What is asked of whoever decides; `Brain` is the module. Others stand in its place where designs are
 // compared.
-class Decisions {
+class RoutingPolicy {
  public:
-  virtual ~Decisions() = default;
+  virtual ~RoutingPolicy() = default;
 
   // The three questions.
-  virtual Answer route(Query& q, double now) = 0;
-  virtual Answer settle(Query& q, int leaf, int call, double now) = 0;  // the outcome stands in the call
-  virtual double wait(const Query& q, double now) const = 0;
+  virtual Decision route(Query& q, double now) = 0;
+  virtual Decision on_call_ended(Query& q, int leaf, int call,
+                                 double now) = 0;  // the outcome stands in the call
+  virtual double time_to_next_check(const Query& q, double now) const = 0;
 
-  virtual void take(int requests, double now) = 0;  // so many queries and parts came in
+  virtual void on_requests_received(int requests, double now) = 0;  // so many queries and parts came in
   // told: discovery says so now; else it is what was known last, before the start.
-  virtual void list(std::span<const Host> hosts, bool complete, bool told = true) = 0;
-  virtual void forget(int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
-  virtual void list_failed(double now) = 0;
+  virtual void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) = 0;
+  virtual void remove_node(
+      int node) = 0;  // gone, with nothing out there: the next of this number is unheard of
+  virtual void on_node_list_failed(double now) = 0;
   virtual bool tick(double now) = 0;  // whether the list must be asked for
-  virtual double period() const = 0;
-  virtual std::vector<Word> tell() = 0;  // to all other routers: what there is to tell since the last call
-  virtual void hear(Word word, double now) = 0;
-  virtual void believe(std::span<const SiteShare> sites) = 0;  // by zone; empty: all are sound
+  virtual double tick_interval() const = 0;
+  virtual std::vector<PeerReport>
+  take_peer_reports() = 0;  // to all other routers: what there is to tell since the last call
+  virtual void on_peer_report(PeerReport word, double now) = 0;
+  virtual void set_site_shares(std::span<const SiteShare> sites) = 0;  // by zone; empty: all are sound
 
   // Has what is passed over and what waits noted from now on, at most kMostJudged an answer.
-  virtual void explain(bool on) = 0;
-  virtual std::span<const Judged> judged() const = 0;  // of the last answer
-  virtual long long unjudged() const = 0;              // choices there was no room to note, since the start
-  virtual Belief belief(int node, double now) const = 0;
+  virtual void enable_trace(bool on) = 0;
+  virtual std::span<const DecisionTraceEntry> trace() const = 0;  // of the last answer
+  virtual long long dropped_trace_entries() const = 0;  // choices there was no room to note, since the start
+  virtual NodeHealth node_health(int node, double now) const = 0;
 };
 
-class Brain final : public Decisions {
+class AdaptiveRoutingPolicy final : public RoutingPolicy {
  public:
-  Brain(const Settings& settings, std::uint64_t seed, double now);
-  ~Brain() override;
-
-  Answer route(Query& q, double now) override;
-  Answer settle(Query& q, int leaf, int call, double now) override;
-  double wait(const Query& q, double now) const override;
-  void take(int requests, double now) override;
-  void list(std::span<const Host> hosts, bool complete, bool told = true) override;
-  void forget(int node) override;
-  void list_failed(double now) override;
+  AdaptiveRoutingPolicy(const Settings& settings, std::uint64_t seed, double now);
+  ~AdaptiveRoutingPolicy() override;
+
+  Decision route(Query& q, double now) override;
+  Decision on_call_ended(Query& q, int leaf, int call, double now) override;
+  double time_to_next_check(const Query& q, double now) const override;
+  void on_requests_received(int requests, double now) override;
+  void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, bool told = true) override;
+  void remove_node(int node) override;
+  void on_node_list_failed(double now) override;
   bool tick(double now) override;
-  double period() const override;
-  std::vector<Word> tell() override;
-  void hear(Word word, double now) override;
-  void believe(std::span<const SiteShare> sites) override;
-  void explain(bool on) override;
-  std::span<const Judged> judged() const override;
-  long long unjudged() const override;
-  Belief belief(int node, double now) const override;
+  double tick_interval() const override;
+  std::vector<PeerReport> take_peer_reports() override;
+  void on_peer_report(PeerReport word, double now) override;
+  void set_site_shares(std::span<const SiteShare> sites) override;
+  void enable_trace(bool on) override;
+  std::span<const DecisionTraceEntry> trace() const override;
+  long long dropped_trace_entries() const override;
+  NodeHealth node_health(int node, double now) const override;
 
  private:
   struct State;
--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-NodeConnection::NodeConnection(asio::io_context& context, DueTimes& timers, const Limits& limits,
+NodeConnection::NodeConnection(asio::io_context& context, TimerQueue& timers, const Limits& limits,
                                Owner& owner, int node)
     : socket_(context),
       timers_(timers),
       limits_(limits),
       owner_(owner),
       node_(node),
-      timer_key_(timers.fresh_key()),
+      timer_key_(timers.new_key()),
       receive_buffer_(kMaxFrameBytes),
       send_buffer_(kMaxFrameBytes * limits.max_parts_per_call) {}
 
@@ -43,7 +43,7 @@
 void NodeConnection::on_connected(const boost::system::error_code& error) {
   if (state_ != State::connecting) return;
   if (error)
-    return close(Closing::refused, error.message(), Outcome::broken,
+    return close(Closing::refused, error.message(), Outcome::disconnected,
                  is_local_lack(error) ? Outcome::unsent : Outcome::unreachable);
   boost::system::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -56,7 +56,7 @@
 }
 
 void NodeConnection::set_timer(double at) {
-  timers_.set(timer_key_, at, [weak = weak_from_this()](double now) {
+  timers_.schedule(timer_key_, at, [weak = weak_from_this()](double now) {
     const auto self = weak.lock();
     if (!self) return;
     boost::system::error_code ignored;
@@ -82,7 +82,7 @@
   if (partially_received) {
     set_timer(last_received_ + limits_.connect_timeout);
   } else if (!idle()) {
-    timers_.drop(timer_key_);
+    timers_.cancel(timer_key_);
   }
 }
 
@@ -102,7 +102,7 @@
   for (const auto& part : parts) pending_calls_[part.id] = {part.ref, now, false};
   queued_calls_.push_back(std::move(parts));
   last_used_ = now;
-  if (state_ == State::open) timers_.drop(timer_key_);
+  if (state_ == State::open) timers_.cancel(timer_key_);
   write();
 }
 
@@ -168,7 +168,7 @@
     wait_writable();
   } else if (is_lack_of_memory(error)) {
     // A shortage on this machine says nothing about the node: the call waits, as it does for a full socket.
-    timers_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::write);
+    timers_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::write);
   } else {
     write_failed(error);
   }
@@ -243,7 +243,7 @@
   }
   if (state_ != State::open) return;
   if (!read_lacked_memory_) return wait_readable();
-  timers_.set_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::read_available);
+  timers_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &NodeConnection::read_available);
 }
 
 bool NodeConnection::read_some() {
@@ -384,7 +384,7 @@
 void NodeConnection::close(Closing reason, std::string_view message, Outcome written, Outcome unwritten) {
   if (state_ == State::closed) return;
   state_ = State::closed;
-  timers_.drop(timer_key_);
+  timers_.cancel(timer_key_);
   boost::system::error_code ignored;
   socket_.close(ignored);
   queued_calls_.clear();
--- a/src/datanodes/connection.hpp
+++ b/src/datanodes/connection.hpp
@@ -56,7 +56,7 @@
   };
 
   // `node` is the index of the node; it is only returned by node().
-  NodeConnection(boost::asio::io_context& context, DueTimes& timers, const Limits& limits, Owner& owner,
+  NodeConnection(boost::asio::io_context& context, TimerQueue& timers, const Limits& limits, Owner& owner,
                  int node);
 
   void open(const boost::asio::ip::tcp::endpoint& endpoint);
@@ -76,7 +76,7 @@
   void retire();
   // Closes the connection. Pending calls whose frame was written completely end with the outcome `written`;
   // all others can't have run and end with `unwritten`.
-  void close(Closing reason, std::string_view message, Outcome written = Outcome::broken,
+  void close(Closing reason, std::string_view message, Outcome written = Outcome::disconnected,
              Outcome unwritten = Outcome::unreachable);
   // Requests a load report of the node. False: it can't be requested now, or an earlier request is still
   // pending.
@@ -117,18 +117,18 @@
   void end_as_unsent(std::vector<OutgoingPart> parts);
   void end_queued_calls();
   void close_malformed() {
-    close(Closing::spoilt, "malformed or unexpected frame", Outcome::spoilt, Outcome::unsent);
+    close(Closing::spoilt, "malformed or unexpected frame", Outcome::malformed, Outcome::unsent);
   }
   void update_partial_frame_timer();
   void close_or_start_idle_timer();  // if no call is pending
   void set_timer(double at);
 
   boost::asio::ip::tcp::socket socket_;
-  DueTimes& timers_;
+  TimerQueue& timers_;
   Limits limits_;
   Owner& owner_;
   int node_;
-  DueTimes::Key timer_key_;  // connect timeout, idle timeout or timeout of a partially received frame
+  TimerQueue::Key timer_key_;  // connect timeout, idle timeout or timeout of a partially received frame
   State state_ = State::created;
   bool retired_ = false;
   bool waits_writable_ = false;
--- a/src/datanodes/pool.cpp
+++ b/src/datanodes/pool.cpp
@@ -6,7 +6,7 @@
 
 namespace yoketurn {
 
-ConnectionPool::ConnectionPool(boost::asio::io_context& context, DueTimes& timers,
+ConnectionPool::ConnectionPool(boost::asio::io_context& context, TimerQueue& timers,
                                const NodeConnection::Limits& limits, std::size_t max_connections, Log& log,
                                Listener& listener)
     : context_(context),
@@ -58,16 +58,17 @@
   const auto ref = part.ref;
   auto& call = pending_calls_[ref];
   call.id = part.id;
-  call.timeout_timer = timers_.fresh_key();
+  call.timeout_timer = timers_.new_key();
   const auto at = now();
   part.expires_at = at + timeout;
   part.send_deadline = at + std::min(send_timeout, timeout);
-  timers_.set(call.timeout_timer, part.expires_at, [this, ref](double) { cancel(ref, Outcome::timed_out); });
+  timers_.schedule(call.timeout_timer, part.expires_at,
+                   [this, ref](double) { cancel(ref, Outcome::timed_out); });
   // The connection may be established, or have room for the parts in its queue, only after the window of a
   // deduplicated part is over.
   if (send_timeout < timeout) {
-    call.send_timer = timers_.fresh_key();
-    timers_.set(call.send_timer, part.send_deadline, [this, ref](double) { withdraw(ref); });
+    call.send_timer = timers_.new_key();
+    timers_.schedule(call.send_timer, part.send_deadline, [this, ref](double) { withdraw(ref); });
   }
   queued_parts_[{node, group}].push_back(std::move(part));
 }
@@ -153,8 +154,8 @@
 void ConnectionPool::call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) {
   const auto pending = pending_calls_.find(ref);
   if (pending == pending_calls_.end()) return;
-  timers_.drop(pending->second.timeout_timer);
-  if (pending->second.send_timer != 0) timers_.drop(pending->second.send_timer);
+  timers_.cancel(pending->second.timeout_timer);
+  if (pending->second.send_timer != 0) timers_.cancel(pending->second.send_timer);
   pending_calls_.erase(pending);
   listener_.call_ended(ref, outcome, score, value);
 }
--- a/src/datanodes/pool.hpp
+++ b/src/datanodes/pool.hpp
@@ -28,7 +28,7 @@
     virtual void connection_limit_reached() = 0;  // no connection could be opened for a call
   };
 
-  ConnectionPool(boost::asio::io_context& context, DueTimes& timers, const NodeConnection::Limits& limits,
+  ConnectionPool(boost::asio::io_context& context, TimerQueue& timers, const NodeConnection::Limits& limits,
                  std::size_t max_connections, Log& log, Listener& listener);
   ~ConnectionPool();
 
@@ -58,8 +58,8 @@
   struct PendingCall {
     std::weak_ptr<NodeConnection> connection;
     std::string id;
-    DueTimes::Key timeout_timer = 0;
-    DueTimes::Key send_timer = 0;  // 0: none, as the send timeout is not shorter than the timeout
+    TimerQueue::Key timeout_timer = 0;
+    TimerQueue::Key send_timer = 0;  // 0: none, as the send timeout is not shorter than the timeout
   };
 
   void withdraw(const CallRef& ref);
@@ -73,7 +73,7 @@
   bool close_least_recently_used();  // of the idle connections; false: none is idle
 
   boost::asio::io_context& context_;
-  DueTimes& timers_;
+  TimerQueue& timers_;
   NodeConnection::Limits limits_;
   std::size_t max_connections_;
   Log& log_;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -78,7 +78,7 @@
     boost::system::error_code error;
     const auto count = socket.read_some(receive_buffer.space(), error);
     if (watch != nullptr && is_lack_of_memory(error))
-      return watch->timers_.set_once(now() + kRetryAfterLack, weak_from_this(), &Connection::read);
+      return watch->timers_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &Connection::read);
     if (is_transient(error)) return read();
     if (error) return fail(error.message());
     receive_buffer.commit(count);
@@ -132,14 +132,14 @@
   std::size_t list_bytes = 0;              // received of this list so far; 0: between two lists
 };
 
-DiscoveryWatch::DiscoveryWatch(asio::io_context& context, DueTimes& timers,
+DiscoveryWatch::DiscoveryWatch(asio::io_context& context, TimerQueue& timers,
                                const asio::ip::tcp::endpoint& agent, Log& log, Listener& listener)
     : context_(context),
       timers_(timers),
       agent_(agent),
       log_(log),
       listener_(listener),
-      timer_key_(timers.fresh_key()) {}
+      timer_key_(timers.new_key()) {}
 
 DiscoveryWatch::~DiscoveryWatch() {
   if (connection_) connection_->watch = nullptr;
@@ -178,7 +178,7 @@
 }
 
 void DiscoveryWatch::start_silence_timer(double timeout) {
-  timers_.set(timer_key_, now() + timeout, [this](double) {
+  timers_.schedule(timer_key_, now() + timeout, [this](double) {
     // Data has arrived in time: the router is late, not discovery.
     if (has_unread_data()) return start_silence_timer(kUnreadDataRecheckSeconds);
     lose_connection("silence");
@@ -234,7 +234,8 @@
   log_.line("watch_lost", "why=\"{}\" version={}", why, version_.value_or(-1));
   listener_.watch_lost();
   if (received_data_ && now() > opened_at_ + kStableConnectionSeconds) failures_ = 0;
-  timers_.set(timer_key_, now() + by_failures(kReopenDelaySeconds, failures_++), [this](double) { open(); });
+  timers_.schedule(timer_key_, now() + by_failures(kReopenDelaySeconds, failures_++),
+                   [this](double) { open(); });
 }
 
 }  // namespace yoketurn
--- a/src/discovery/watch.hpp
+++ b/src/discovery/watch.hpp
@@ -33,7 +33,7 @@
     virtual void list_unusable() = 0;  // a list could not be parsed; the full list is requested again
   };
 
-  DiscoveryWatch(boost::asio::io_context& context, DueTimes& timers,
+  DiscoveryWatch(boost::asio::io_context& context, TimerQueue& timers,
                  const boost::asio::ip::tcp::endpoint& agent, Log& log, Listener& listener);
   ~DiscoveryWatch();
 
@@ -58,11 +58,11 @@
   void lose_connection(std::string_view why);
 
   boost::asio::io_context& context_;
-  DueTimes& timers_;
+  TimerQueue& timers_;
   boost::asio::ip::tcp::endpoint agent_;
   Log& log_;
   Listener& listener_;
-  DueTimes::Key timer_key_;           // silence timeout, or the delay until the connection is opened again
+  TimerQueue::Key timer_key_;         // silence timeout, or the delay until the connection is opened again
   std::optional<long long> version_;  // of the last list or changes; nullopt: the full list is requested
   std::shared_ptr<Connection> connection_;
   bool awaits_full_list_ = false;  // after an unusable list, changes are ignored until a full list arrives
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -137,8 +137,8 @@
   PlannedTown town;
   town.sites = static_cast<int>(zones.size());
   town.shards = config.bounds.shards;
-  town.cells = config.settings.cells;
-  town.span = config.settings.span;
+  town.cells = config.settings.cell_count;
+  town.span = config.settings.cells_per_shard;
   town.settings = config.settings;
   std::vector<int> many(zones.size(), 0);
   int nowhere = 0;
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -31,7 +31,7 @@
 
 namespace yoketurn {
 
-class Router : private Actions,
+class Router : private QueryActions,
                private ConnectionPool::Listener,
                private Listener::Asker,
                private DiscoveryWatch::Listener {
@@ -91,10 +91,10 @@
   void send(long long query, const Send& send, int call) override;
   void cancel(long long query, const Cancel& cancel) override;
   void merge(long long query, bool whole) override;
-  void reject(long long query, double stay_away, const Why& why) override;
-  void abort(long long query, const Why& why) override;
-  void forget(long long query) override;
-  void ended(int vertical, const Call& call) override;
+  void reject(long long query, double stay_away, const Explanation& why) override;
+  void abort(long long query, const Explanation& why) override;
+  void release(long long query) override;
+  void on_call_ended(int vertical, const Call& call) override;
 
   void call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) override;
   void connection_opened(int node, double took) override;
@@ -137,7 +137,7 @@
   void enter(Phase phase);
   void wind_up(double at);
   void tell_figures(double at);
-  void tell_of(std::string_view end, long long query, const Why& why);
+  void tell_of(std::string_view end, long long query, const Explanation& why);
 
   boost::asio::io_context& context_;
   Log& log_;
@@ -183,7 +183,7 @@
   int disk_failures_ = 0;
 
   // These tell of what they hold when they end, so all that is told of outlives them.
-  DueTimes due_;
+  TimerQueue due_;
   Queries queries_;
   ConnectionPool pool_;
   yoketurn::Listener clients_;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -154,44 +154,44 @@
   for (std::size_t i = 0; i < many; ++i) {
     const auto path = "classes." + std::to_string(i) + ".";
     Vertical v;
-    v.slo = read.seconds(path + "aim_us");
+    v.slo_time = read.seconds(path + "aim_us");
     v.slo_stretch = read.optional(path + "aim_stretch", 0);
     v.utility = read.number(path + "credit", 0);
     v.late_utility = read.number(path + "late_worth", 0);
     v.effect = effect(required(setup, path + "semantics"));
-    if (v.effect == Effect::deduplicated) v.window = read.seconds(path + "window_us");
-    v.least = least[i];
-    v.whole = whole[i];
-    v.partial_earns = earns[i];
-    v.second_step = static_cast<int>(steps[i]);
+    if (v.effect == Effect::deduplicated) v.dedup_window = read.seconds(path + "window_us");
+    v.min_merge_share = least[i];
+    v.complete_share = whole[i];
+    v.partial_utility = earns[i];
+    v.second_step_parts = static_cast<int>(steps[i]);
     s.verticals.push_back(v);
   }
   const auto customers = names(setup, "customers");
   for (std::size_t i = 0; i < customers.size(); ++i)
     s.customers.push_back({read.number("customers." + std::to_string(i) + ".quota_rps", 0)});
-  s.routers = read.count("balancers", 1);
+  s.router_count = read.count("balancers", 1);
   const auto zones = split(required(setup, "zones"), ',');
   const auto zone = std::find(zones.begin(), zones.end(), required(setup, "zone"));
   s.zone = zone == zones.end() ? kNone : static_cast<int>(zone - zones.begin());
-  s.tick = read.seconds("resolution_us");
+  s.timer_resolution = read.seconds("resolution_us");
   s.max_calls = read.count("bounds.max_attempts", 1);
   s.may_copy = read.flag("bounds.may_duplicate");
   s.may_cancel = read.flag("bounds.cancel");
-  s.may_tell = setup.contains("bounds.peer_messages") && read.flag("bounds.peer_messages");
-  s.must_ask_list = required(setup, "discovery") == "ask";
-  s.max_stay_away = read.flag("bounds.retry_after") ? read.seconds("bounds.max_retry_after_us") : 0;
-  s.over_share = read.optional("over_share_worth", 1);
+  s.may_send_peer_reports = setup.contains("bounds.peer_messages") && read.flag("bounds.peer_messages");
+  s.must_request_node_list = required(setup, "discovery") == "ask";
+  s.max_retry_after = read.flag("bounds.retry_after") ? read.seconds("bounds.max_retry_after_us") : 0;
+  s.over_quota_utility = read.optional("over_share_worth", 1);
   s.utility_by_work = required(setup, "worth_by") == "work";
-  s.parts_a_call = read.count("domain.parts_a_call", 1);
-  s.cells = read.count("domain.places", 1);
-  s.span = read.count("domain.span", 1);
+  s.max_parts_per_call = read.count("domain.parts_a_call", 1);
+  s.cell_count = read.count("domain.places", 1);
+  s.cells_per_shard = read.count("domain.span", 1);
   s.start_capacity = read.number("contract.start_capacity", 0);
-  s.cold_time = read.seconds("contract.cold_us");
-  s.fall_multiple = read.number("contract.fall_multiple", 0);
-  s.fall_time = read.seconds("contract.overload_for_us");
-  s.extra_span = read.optional("contract.ratio_span_us", 0) / 1e6;
-  s.extra_free = read.optional("contract.min_extra", 0);
-  s.extra_share = read.optional("contract.budget_share", 0);
+  s.slow_start_time = read.seconds("contract.cold_us");
+  s.overload_multiple = read.number("contract.fall_multiple", 0);
+  s.overload_time = read.seconds("contract.overload_for_us");
+  s.retry_budget_window = read.optional("contract.ratio_span_us", 0) / 1e6;
+  s.retry_budget_min = read.optional("contract.min_extra", 0);
+  s.retry_budget_ratio = read.optional("contract.budget_share", 0);
   return s;
 }
 
--- a/src/timeline/record.cpp
+++ b/src/timeline/record.cpp
@@ -224,16 +224,16 @@
     case What::passed: {
       const auto instead = r.other.empty() ? ", nobody instead" : " for " + r.other;
       switch (static_cast<Reason>(e.why)) {
-        case Reason::dearer:
+        case Reason::worse_score:
           return fmt::format("passed over{}: score {} to {}", instead, ms(e.a), ms(e.b));
         case Reason::suspect:
           return fmt::format("passed over{}: suspect, left alone for {}, {:g} waiting", instead, ms(e.b),
                              e.c);
-        case Reason::cold:
+        case Reason::slow_start:
           return fmt::format("passed over{}: cold, sent {:g} of {:.2f}", instead, e.a, e.b);
-        case Reason::tried:
+        case Reason::already_tried:
           return fmt::format("passed over{}: the part has been there", instead);
-        case Reason::away:
+        case Reason::site_avoided:
           return fmt::format("passed over{}: its site was lost {} before", instead, ms(e.a));
         default:
           return fmt::format("passed over{}: {}", instead, why);
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -55,14 +55,14 @@
 }
 
 void Instance::on_list(std::string_view kind, const std::vector<Entry>& entries, double now) {
-  if (kind == "lost") return queries_.list_failed(now);
+  if (kind == "lost") return queries_.on_node_list_failed(now);
   if (kind != "incr" && kind != "total" && kind != "warm_copy")
     throw Malformed("kind: '" + std::string(kind) + "' makes no sense");
-  std::vector<yoketurn::Host> hosts;
+  std::vector<yoketurn::DiscoveredNode> hosts;
   for (const auto& entry : entries)
     hosts.push_back(
         {node(entry.node), look_up(zones_, entry.zone), entry.cell, entry.status == 'U', entry.born});
-  queries_.list(hosts, kind != "incr", now, kind != "warm_copy");
+  queries_.update_nodes(hosts, kind != "incr", now, kind != "warm_copy");
 }
 
 void Instance::on_demand(Fields& fields, double now) {
@@ -79,22 +79,22 @@
   const auto marks = fields.integer("marks");
   const auto hint = (marks & 1) != 0 && work > 0 ? work : 0;
   if (shard >= 0) {
-    const auto leaf = queries_.take_part(ask, {shard, measure, hint, 1, false, {}}, now);
+    const auto leaf = queries_.add_part(ask, {shard, measure, hint, 1, false, {}}, now);
     if (leaf == kNone) return;
     leaves_[id] = {ask, leaf};
     ids_[ask].leaves.push_back(id);
     return;
   }
-  if (queries_.holds(ask)) throw Malformed("ask_no: that query is held already");
+  if (queries_.contains(ask)) throw Malformed("ask_no: that query is held already");
   Query q;
   q.vertical = vertical;
   q.customer = customer;
-  q.expires = expires;
-  q.work = hint;
+  q.deadline = expires;
+  q.work_hint = hint;
   q.client_retry = (marks & 2) != 0;
   asks_[id] = ask;
   ids_[ask].query = id;
-  queries_.take(ask, std::move(q), now);
+  queries_.add_query(ask, std::move(q), now);
 }
 
 void Instance::on_response(Fields& fields, double now) {
@@ -106,18 +106,18 @@
   fields.word("final");
   const auto at = leaves_.find(id);
   if (at == leaves_.end() || number < 0 || number > std::numeric_limits<int>::max()) return;
-  queries_.outcome(at->second.first, at->second.second, static_cast<int>(number), verdict, 0, now);
+  queries_.on_outcome(at->second.first, at->second.second, static_cast<int>(number), verdict, 0, now);
 }
 
 // Words for the other routers: three bytes that stand for the node, whose id is the same at all routers, and
 // one for the latency on a scale of sixteenths of a doubling from 1 ms.
-void Instance::tell(const std::vector<Word>& words) {
+void Instance::send_peer_reports(const std::vector<PeerReport>& words) {
   for (std::size_t from = 0; from < words.size(); from += kMostWords) {
     std::string raw;
     for (auto i = from; i < std::min(words.size(), from + kMostWords); ++i) {
       const auto of_node = mark(node_ids_[static_cast<std::size_t>(words[i].node)]);
       for (const auto shift : {16, 8, 0}) raw += static_cast<char>(of_node >> shift & 0xff);
-      raw += static_cast<char>(step_of(words[i].took));
+      raw += static_cast<char>(step_of(words[i].latency));
     }
     say("announce", -1LL, encode(raw).c_str());
   }
@@ -133,13 +133,14 @@
       of_node = of_node << 8 | static_cast<unsigned char>((*raw)[i + j]);
     const auto at = marks_.find(of_node);
     if (at != marks_.end())
-      queries_.hear({at->second, time_of(static_cast<unsigned char>((*raw)[i + kWordBytes - 1]))}, now);
+      queries_.on_peer_report({at->second, time_of(static_cast<unsigned char>((*raw)[i + kWordBytes - 1]))},
+                              now);
   }
 }
 
 void Instance::on_gone(Fields& fields) {
   const auto at = asks_.find(fields.integer("xid"));
-  if (at != asks_.end()) queries_.gone(at->second);
+  if (at != asks_.end()) queries_.abandon(at->second);
 }
 
 void Instance::on_reminder(std::string_view token, double now) {
@@ -162,13 +163,13 @@
 void Instance::merge(long long query, bool whole) {
   say("answer", ids_.at(query).query, whole ? 1 : 0);
 }
-void Instance::reject(long long query, double stay_away, const Why&) {
+void Instance::reject(long long query, double stay_away, const Explanation&) {
   say("reject", ids_.at(query).query, micros(stay_away));
 }
-void Instance::abort(long long query, const Why&) {
+void Instance::abort(long long query, const Explanation&) {
   say("respond_error", ids_.at(query).query);
 }
-void Instance::forget(long long query) {
+void Instance::release(long long query) {
   const auto& ids = ids_.at(query);
   asks_.erase(ids.query);
   for (const auto id : ids.leaves) leaves_.erase(id);
@@ -180,10 +181,10 @@
 }
 
 void Instance::finish(double now, std::string& reply) {
-  queries_.finish(now);
-  if (!tick_set_) set_timer("tick", now + queries_.period(), now);
+  queries_.process_changes(now);
+  if (!tick_set_) set_timer("tick", now + queries_.tick_interval(), now);
   tick_set_ = true;
-  if (const auto next = due_.next(); due_.size() > 0 && (wake_at_ < 0 || next < wake_at_ - 1e-6)) {
+  if (const auto next = due_.next_due(); due_.size() > 0 && (wake_at_ < 0 || next < wake_at_ - 1e-6)) {
     wake_at_ = next;
     set_timer("due", wake_at_, now);
   }
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -78,12 +78,12 @@
     for (const auto started_at = now(); outcomes.ended.size() < count && now() < started_at + 5;) {
       context.restart();
       context.run_for(std::chrono::milliseconds(5));
-      timers.run(now());
+      timers.run_due(now());
     }
     REQUIRE(outcomes.ended.size() == count);
   }
   boost::asio::io_context& context;
-  DueTimes timers;
+  TimerQueue timers;
   RecordedOutcomes outcomes;
   Log log{stderr, {false, spdlog::level::off, 16}};
   ConnectionPool pool{context, timers, {10, 1, 1, 15}, 10, log, outcomes};
@@ -234,11 +234,11 @@
   CHECK(config.known.version == 4);
   REQUIRE(config.settings.verticals.size() == 3);
   CHECK(config.settings.verticals[1].effect == Effect::deduplicated);
-  CHECK(config.settings.verticals[1].window == 2);
-  CHECK(config.settings.verticals[2].second_step == 2);
+  CHECK(config.settings.verticals[1].dedup_window == 2);
+  CHECK(config.settings.verticals[2].second_step_parts == 2);
   CHECK(config.settings.zone == 0);
   CHECK(config.settings.customers.empty());
-  CHECK(config.settings.max_stay_away == 0.5);
+  CHECK(config.settings.max_retry_after == 0.5);
   CHECK(config.bounds.idle_timeout == 15);
   CHECK(config.bounds.max_open == 200);
   const auto wire = pairs("a=1 classes.count=1 classes.0.name=look");
--- a/tests/node_connection_test.cpp
+++ b/tests/node_connection_test.cpp
@@ -58,7 +58,7 @@
          std::chrono::steady_clock::now() < end;) {
       context.restart();
       context.run_for(std::chrono::milliseconds(1));
-      timers.run(now());
+      timers.run_due(now());
     }
   }
   // Returns false if the condition does not hold within 5 s.
@@ -96,7 +96,7 @@
 
   asio::io_context context;
   tcp::acceptor acceptor{context, kLoopback};
-  DueTimes timers;
+  TimerQueue timers;
   Outcomes outcomes;
   Log log{stderr, {false, spdlog::level::off, 16}};
   NodeConnection::Limits limits;
@@ -155,7 +155,7 @@
   for (const auto query : {0, 1}) {
     CAPTURE(query);
     const auto outcome = router.outcomes.by_query[query];
-    CHECK((outcome == Outcome::broken || outcome == Outcome::spoilt));
+    CHECK((outcome == Outcome::disconnected || outcome == Outcome::malformed));
   }
 }
 
