--- a/src/datanodes/connection.cpp
+++ b/src/datanodes/connection.cpp
@@ -311,7 +311,7 @@
   const auto pending = pending_calls_.find(id);
   if (pending == pending_calls_.end()) return false;
   // If the node's machine or the network path to it has vanished, its connections stay open but silent. Each
-  // new call on them would be lost until its timeout, and the decision module would take the node itself for
+  // new call on them would be lost until its timeout, and the routing policy would take the node itself for
   // silent. A new connection is established or fails soon; if the node is only slow, this costs one
   // handshake.
   const auto silent = last_received_ < pending->second.sent_at;
