--- a/src/router/config.cpp
+++ b/src/router/config.cpp
@@ -20,7 +20,7 @@
 
 boost::asio::ip::tcp::endpoint endpoint_field(const boost::json::object& object, std::string_view name) {
   const auto text = text_field(object, name);
-  const auto parsed = read_endpoint(text);
+  const auto parsed = parse_endpoint(text);
   if (!parsed) complain(name, text);
   return *parsed;
 }
@@ -41,7 +41,7 @@
   if (const auto& limits = object_field(object, "limits"); limits.contains("memory_mb"))
     config.memory_bytes =
         static_cast<std::size_t>(number_field<double>(limits, "memory_mb", 1, 1e7) * 1024 * 1024);
-  config.initial_members = read_list(object_field(object, "known"));
+  config.initial_members = parse_member_list(object_field(object, "known"));
   config.raw_settings = pairs(object_field(object, "settings"));
   check_shape(config.raw_settings);
   config.settings = settings(config.raw_settings);
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -41,7 +41,7 @@
   return (config.max_sockets - reserved_sockets(config)) / kNodeDivisor;
 }
 
-Log::Form log_form(const Operators& operators) {
+Log::Options log_form(const Operators& operators) {
   return {operators.log.json, spdlog::level::from_str(operators.log.level), operators.log.queue};
 }
 
@@ -122,10 +122,10 @@
       node_ages_(config.settings.slow_start_time),
       version_reporter_({config.name, own_site(config), config.verticals}, config.seed, now(), unix_at_zero_,
                         log,
-                        {[this] { watch_.ask_again(); }, [this] { reload(); },
+                        {[this] { watch_.request_full_list(); }, [this] { reload(); },
                          [this](const asio::ip::tcp::endpoint& at) {
                            current_discovery_ = at;
-                           watch_.follow(at);
+                           watch_.switch_to(at);
                          }}),
       current_discovery_(config.discovery),
       queries_(config.settings, config.seed, now(), timers_, *this),
@@ -148,7 +148,7 @@
   signals_.add(SIGTERM);
   signals_.add(SIGHUP);
   await_signal();
-  log_.shape(log_form(config_.operator_settings));
+  log_.configure(log_form(config_.operator_settings));
   version_reporter_.on_version_change = [this](Subject subject) {
     if (recorder_)
       recorder_->version(subject, version_reporter_.versions().version(subject),
@@ -161,7 +161,7 @@
   clients_.open(config_.listen);
   log_.line("phase", "name={} router={} listen={}:{}", name(phase_), config_.name,
             config_.listen.address().to_string(), config_.listen.port());
-  listed(config_.initial_members);
+  list_received(config_.initial_members);
   watch_.start(config_.initial_members.version);
   next_tick_at_ = now();
   next_counters_log_at_ = next_tick_at_ + kCountersLogSeconds;
@@ -208,7 +208,7 @@
       version_reporter_.set_file_version(Subject::configuration, loaded.hash, config_.path, now());
     if (loaded.discovery == config_.discovery) return;
     config_.discovery = current_discovery_ = loaded.discovery;
-    watch_.follow(loaded.discovery);
+    watch_.switch_to(loaded.discovery);
   } catch (const std::exception& error) {
     version_reporter_.versions().kept(true, now());
     log_.line("reload_failed", "why=\"{}\"", error.what());
@@ -250,7 +250,7 @@
                              operators.timeline.lines == before.timeline.lines &&
                              operators.departures == before.departures;
   const auto listen = operators.timeline.on && !operators.timeline.listen.empty()
-                          ? read_endpoint(operators.timeline.listen)
+                          ? parse_endpoint(operators.timeline.listen)
                           : std::nullopt;
   if (operators.timeline.on && !operators.timeline.listen.empty() && !listen)
     throw Malformed("timeline.listen is not an IP address and port");
@@ -315,10 +315,10 @@
 void Router::record_known_nodes(double at) {
   for (const auto& member : members_.list().members) {
     const auto node = node_numbers_.find(member.id);
-    if (node == node_numbers_.end() || member.gone) continue;
+    if (node == node_numbers_.end() || member.removed) continue;
     recorder_->listed(node->second, member.id,
-                      fmt::format("{}:{}", member.at.address().to_string(), member.at.port()), member.up,
-                      started_at(member), members_.list().version, at);
+                      fmt::format("{}:{}", member.endpoint.address().to_string(), member.endpoint.port()),
+                      member.up, started_at(member), members_.list().version, at);
   }
 }
 
@@ -329,7 +329,7 @@
     const auto loaded = load_operators(config_.operators_path, config_.memory_bytes);
     apply_operators(loaded);
     version_reporter_.set_file_version(Subject::operators, loaded.hash, config_.operators_path, now());
-    log_.shape(log_form(loaded));
+    log_.configure(log_form(loaded));
     log_.line("operators_reloaded", "path=\"{}\"", config_.operators_path);
     return true;
   } catch (const BadOperators& bad) {
@@ -358,7 +358,7 @@
     before = total;
   };
   record_increase(Bound::judged, queries_.dropped_trace_entries(), last_unjudged_);
-  record_increase(Bound::log, log_.lost(), last_lost_lines_);
+  record_increase(Bound::log, log_.dropped_lines(), last_lost_lines_);
   for (const auto& [id, node] : node_numbers_) recorder_->believed(node, queries_.node_health(node, at), at);
   if (segments_ && segments_->failures() > last_segment_failures_) {
     last_segment_failures_ = segments_->failures();
@@ -377,7 +377,7 @@
   if (const auto every = config_.operator_settings.timeline.reports;
       every > 0 && at >= next_load_request_at_) {
     next_load_request_at_ = at + every;
-    pool_.ask_loads();
+    pool_.request_loads();
   }
 }
 
@@ -431,19 +431,19 @@
   versions.ended(call.node, call.outcome, now());
 }
 
-void Router::connected(int node, double took) {
+void Router::connection_opened(int node, double took) {
   if (recorder_) recorder_->opened(node, took, now());
 }
 
-void Router::disconnected(int node, Closing closing) {
+void Router::connection_closed(int node, Closing closing) {
   if (recorder_) recorder_->closed(node, closing, now());
 }
 
-void Router::load_asked(int node) {
+void Router::load_requested(int node) {
   if (recorder_) recorder_->load_asked(node, now());
 }
 
-void Router::reported(int node, std::string_view text, double asked) {
+void Router::load_reported(int node, std::string_view text, double asked) {
   if (recorder_) recorder_->load_answered(node, now());
   if (!recorder_ || text == "-" || text == "failed") return;
   const auto at = now();
@@ -454,11 +454,11 @@
   recorder_->reported(node, report->in_flight, report->queue, measured, Report::fresh, at);
 }
 
-void Router::no_room() {
+void Router::connection_limit_reached() {
   if (recorder_)
     recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::connections),
-                    static_cast<double>(pool_.connections()), static_cast<double>(node_connections(config_)),
-                    now());
+                    static_cast<double>(pool_.connection_count()),
+                    static_cast<double>(node_connections(config_)), now());
 }
 
 void Router::ingress_event(What what, std::uint8_t why, int connection, std::uint32_t address, double a,
@@ -477,7 +477,7 @@
     queries_.tick(at);  // the result, a request for the list, is not needed: the watch delivers it
     update_sites();
     update_version_reporter(at);
-    log_.sum_up(at);
+    log_.write_summaries(at);
     log_counters(at);
     run_turn();
     release_node_numbers();
@@ -525,7 +525,7 @@
 }
 
 bool Router::must_read_first(double at) {
-  return standstill_.must_read_first(at, [this] { return watch_.unread(); });
+  return standstill_.must_read_first(at, [this] { return watch_.has_unread_data(); });
 }
 
 void Router::arm_timer() {
@@ -551,7 +551,7 @@
             "taken={} merged={} rejected={} aborted={} left={} bad={} in_hand={} open={} clients={} nodes={}",
             counters_.accepted, counters_.merged, counters_.rejected, counters_.aborted,
             counters_.disconnected, counters_.bad_requests, query_by_connection_.size(), open_count_,
-            clients_.connections(), pool_.connections());
+            clients_.connections(), pool_.connection_count());
 }
 
 // --- clients
@@ -632,7 +632,7 @@
   open_ids_.erase(query_state.id);
   open_count_ -= 1 + static_cast<int>(query_state.parts.size());
   query_state.awaits_answer = false;
-  pool_.drop_unsent(query);
+  pool_.cancel_unsent(query);
 }
 
 void Router::send_answer(long long query, int status, std::string_view body, double retry_after) {
@@ -661,7 +661,7 @@
 }
 
 void Router::cancel(long long query, const Cancel& cancel) {
-  pool_.give_up({query, cancel.leaf, cancel.call}, Outcome::cancelled);
+  pool_.cancel({query, cancel.leaf, cancel.call}, Outcome::cancelled);
 }
 
 void Router::merge(long long query, bool whole) {
@@ -750,14 +750,14 @@
 
 // --- discovery
 
-void Router::listed(const MemberList& list) {
+void Router::list_received(const MemberList& list) {
   members_.apply(list);
   version_reporter_.set_list(members_.list(), list.full, endpoint_text(current_discovery_), now());
   std::vector<DiscoveredNode> hosts;
   std::set<int> present;
   std::size_t ready = 0;
   for (const auto& member : list.members) {
-    if (member.gone && !node_numbers_.contains(member.id)) continue;
+    if (member.removed && !node_numbers_.contains(member.id)) continue;
     const auto node = node_number(member.id);
     if (node == kNone) {
       log_.line("node_unknown", "id={} known={}", member.id, node_numbers_.size());
@@ -768,18 +768,18 @@
     present.insert(node);
     version_reporter_.set_member(node, member);
     if (recorder_) {
-      if (member.gone)
+      if (member.removed)
         recorder_->left(node, list.version, now());
       else
         recorder_->listed(node, member.id,
-                          fmt::format("{}:{}", member.at.address().to_string(), member.at.port()), member.up,
-                          started, list.version, now());
+                          fmt::format("{}:{}", member.endpoint.address().to_string(), member.endpoint.port()),
+                          member.up, started, list.version, now());
     }
-    if (member.gone) {
-      pool_.leave(node);
+    if (member.removed) {
+      pool_.retire_connections(node);
       removed_nodes_.emplace(member.id, node);
     } else {
-      pool_.locate(node, member.at, started, member.up);
+      pool_.set_node(node, member.endpoint, started, member.up);
       removed_nodes_.erase(member.id);
     }
     if (member.up) ++ready;
@@ -787,7 +787,7 @@
   if (list.full)
     for (const auto& [id, node] : node_numbers_)
       if (!present.contains(node) && removed_nodes_.emplace(id, node).second) {
-        pool_.leave(node);
+        pool_.retire_connections(node);
         if (recorder_) recorder_->left(node, list.version, now());
       }
   queries_.update_nodes(hosts, list.full, now());
@@ -798,7 +798,7 @@
 }
 
 double Router::started_at(const Member& member) {
-  return node_ages_.born(member.id, member.started, now(), WallTime::now());
+  return node_ages_.started_at(member.id, member.started_at, now(), WallTime::now());
 }
 
 int Router::node_number(const std::string& node) {
@@ -819,11 +819,11 @@
 void Router::release_node_numbers() {
   if (!call_results_.empty()) return;  // the queries still refer to these nodes by number
   std::erase_if(removed_nodes_, [this](const auto& removed) {
-    if (pool_.holds(removed.second)) return false;
+    if (pool_.has_connection(removed.second)) return false;
     queries_.remove_node(removed.second);
     if (recorder_) recorder_->forgotten(removed.second, now());
     free_node_numbers_.push_back(removed.second);
-    node_ages_.left(removed.first);
+    node_ages_.node_removed(removed.first);
     node_numbers_.erase(removed.first);
     return true;
   });
@@ -834,8 +834,8 @@
   queries_.on_node_list_failed(now());
 }
 
-void Router::watch_heard() {
-  node_ages_.heard(now());
+void Router::watch_data_received() {
+  node_ages_.record_discovery_contact(now());
   version_reporter_.versions().heard(now());
 }
 
@@ -843,17 +843,17 @@
 // A lower one shows that discovery has restarted its count, so that the current list may be out of date:
 // without requesting the whole list, all further changes would be ignored until the count has caught up, and
 // a node drained meanwhile would get parts for minutes.
-void Router::passed_over(const MemberList& list) {
+void Router::stale_list_received(const MemberList& list) {
   if (list.members.empty() || list.version >= members_.list().version) return;
   const auto at = now();
   version_reporter_.versions().passed_over(list.version, at);
   if (at < next_full_list_request_at_) return;
   next_full_list_request_at_ = at + kMinFullListIntervalSeconds;
   log_.line("list_again", "count={} held={}", list.version, members_.list().version);
-  watch_.ask_again();
+  watch_.request_full_list();
 }
 
-void Router::unusable() {
+void Router::list_unusable() {
   version_reporter_.versions().unusable(now());
 }
 
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -32,9 +32,9 @@
 namespace yoketurn {
 
 class Router : private QueryActions,
-               private Pool::Listener,
+               private ConnectionPool::Listener,
                private ClientListener::RequestHandler,
-               private Watch::Listener {
+               private DiscoveryWatch::Listener {
  public:
   // starting: no data node is ready yet. draining: asked to stop; first serves its open connections as usual,
   // then closes each after the answer that is pending on it. stopped: every request is answered.
@@ -99,21 +99,21 @@
   void on_call_ended(int vertical, const Call& call) override;
 
   void call_ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) override;
-  void connected(int node, double took) override;
-  void disconnected(int node, Closing closing) override;
-  void load_asked(int node) override;
-  void reported(int node, std::string_view report, double asked) override;
-  void no_room() override;
+  void connection_opened(int node, double took) override;
+  void connection_closed(int node, Closing closing) override;
+  void load_requested(int node) override;
+  void load_reported(int node, std::string_view report, double asked) override;
+  void connection_limit_reached() override;
   void ingress_event(What what, std::uint8_t why, int connection, std::uint32_t address, double a,
                      double b) override;
   void request_received(int connection, const ClientConnection::Request& request) override;
   void client_disconnected(int connection) override;
-  void listed(const MemberList& list) override;
+  void list_received(const MemberList& list) override;
   double started_at(const Member& member);
   void watch_lost() override;
-  void watch_heard() override;
-  void passed_over(const MemberList& list) override;
-  void unusable() override;
+  void watch_data_received() override;
+  void stale_list_received(const MemberList& list) override;
+  void list_unusable() override;
   int node_number(const std::string& node);  // kNone: too many nodes are tracked
   void release_node_numbers();
 
@@ -188,9 +188,9 @@
   // Destroyed first: their destructors report to the members above.
   TimerQueue timers_;
   Queries queries_;
-  Pool pool_;
+  ConnectionPool pool_;
   ClientListener clients_;
-  Watch watch_;
+  DiscoveryWatch watch_;
   std::unique_ptr<TimelineServer> server_;
   boost::asio::steady_timer tick_timer_, timer_;
   boost::asio::signal_set signals_;
--- a/src/router/version_reporter.cpp
+++ b/src/router/version_reporter.cpp
@@ -34,10 +34,10 @@
     entry.assign(m.id);
     entry += '\0';
     entry += m.zone;
-    char packed[sizeof m.cell + sizeof m.started.unix_seconds + 1];
+    char packed[sizeof m.cell + sizeof m.started_at.unix_seconds + 1];
     std::memcpy(packed, &m.cell, sizeof m.cell);
-    std::memcpy(packed + sizeof m.cell, &m.started.unix_seconds, sizeof m.started.unix_seconds);
-    packed[sizeof packed - 1] = static_cast<char>(m.gone ? 2 : m.up ? 1 : 0);
+    std::memcpy(packed + sizeof m.cell, &m.started_at.unix_seconds, sizeof m.started_at.unix_seconds);
+    packed[sizeof packed - 1] = static_cast<char>(m.removed ? 2 : m.up ? 1 : 0);
     entry.append(packed, sizeof packed);
     sum += XXH3_64bits(entry.data(), entry.size());
   }
@@ -179,7 +179,7 @@
     case Step::read_again:
       return callbacks_.reload();
     case Step::follow:
-      if (const auto at = read_endpoint(service_.last().agent)) callbacks_.follow_discovery(*at);
+      if (const auto at = parse_endpoint(service_.last().agent)) callbacks_.follow_discovery(*at);
       return;
     default:  // the service keeps the state of the other steps
       return;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -19,7 +19,7 @@
 
 // An answer whose frame length is wrong by `error` bytes.
 std::string with_length_error(const DataNode::Part& part, int error) {
-  auto bytes = frame('R', part.id + " done 1 -\nq@1");
+  auto bytes = encode_frame('R', part.id + " done 1 -\nq@1");
   bytes[3] = static_cast<char>(bytes[3] + error);
   return bytes;
 }
@@ -255,8 +255,8 @@
          DataNode::answer(from, part, "done", 1, "q@1");
        },
        200},
-      {"sends an unknown frame", [](auto&, auto& from) { from.say(frame('X', "what")); }, 200},
-      {"sends F", [](auto&, auto& from) { from.say(frame('F', "no")); }, 200},
+      {"sends an unknown frame", [](auto&, auto& from) { from.say(encode_frame('X', "what")); }, 200},
+      {"sends F", [](auto&, auto& from) { from.say(encode_frame('F', "no")); }, 200},
       {"sends too large a frame", [](auto&, auto& from) { from.say(std::string("\x7f\xff\xff\xffR", 5)); },
        200},
       {"answers for another part only",
@@ -272,18 +272,21 @@
        [](auto& part, auto& from) { from.say(with_length_error(part, -3)); }, 200},
       {"states too long a length", [](auto& part, auto& from) { from.say(with_length_error(part, 9)); }, 200},
       {"states a length that includes the head of the next frame",
-       [](auto& part, auto& from) { from.say(with_length_error(part, 2) + frame('R', "x done 1 -\nv")); },
+       [](auto& part, auto& from) {
+         from.say(with_length_error(part, 2) + encode_frame('R', "x done 1 -\nv"));
+       },
        200},
       {"sends a line without its end",
-       [](auto& part, auto& from) { from.say(frame('R', part.id + " done")); }, 200},
+       [](auto& part, auto& from) { from.say(encode_frame('R', part.id + " done")); }, 200},
       {"answers with an unknown outcome",
-       [](auto& part, auto& from) { from.say(frame('R', part.id + " gone 1 -\nv")); }, 200},
+       [](auto& part, auto& from) { from.say(encode_frame('R', part.id + " gone 1 -\nv")); }, 200},
       {"sends a few bytes of noise", [](auto&, auto& from) { from.say("no"); }, 200},
       {"sends a frame that stops halfway",
-       [](auto& part, auto& from) { from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, 9)); }, 200},
+       [](auto& part, auto& from) { from.say(encode_frame('R', part.id + " done 1 -\nq@1").substr(0, 9)); },
+       200},
       {"sends half a frame and closes the connection",
        [](auto& part, auto& from) {
-         from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, 9));
+         from.say(encode_frame('R', part.id + " done 1 -\nq@1").substr(0, 9));
          from.close();
        },
        200},
@@ -313,14 +316,14 @@
   const std::function<std::string(const std::string&, const std::string&)> answers[] = {
       [](const auto& good, const auto&) { return good + good; },
       [](const auto& good, const auto&) { return good + good + good.substr(0, 7); },
-      [](const auto&, const auto& id) { return frame('R', id + " done 1 inflight=?;,=x =\nq@1"); },
-      [](const auto&, const auto& id) { return frame('R', id + " done 1\nq@1"); },
+      [](const auto&, const auto& id) { return encode_frame('R', id + " done 1 inflight=?;,=x =\nq@1"); },
+      [](const auto&, const auto& id) { return encode_frame('R', id + " done 1\nq@1"); },
   };
   for (const auto& make_answer : answers) {
     TestCluster cluster(1);
     for (int i = 0; i < 3; ++i) {
       cluster.nodes[0]->on_part = [&](const auto& part, auto& from) {
-        from.say(make_answer(frame('R', part.id + " done 1 -\nq@1"), part.id));
+        from.say(make_answer(encode_frame('R', part.id + " done 1 -\nq@1"), part.id));
       };
       TestClient client(cluster);
       client.send(query_request("look", {1}, "t" + std::to_string(i)));
@@ -332,7 +335,7 @@
 }
 
 TEST_CASE("calls pending beside an unreadable answer end at once, and a truncated answer is never served") {
-  const auto length = frame('R', "t0.1 done 1 -\nq@1").size();
+  const auto length = encode_frame('R', "t0.1 done 1 -\nq@1").size();
   for (std::size_t cut = 1; cut < length; ++cut) {
     CAPTURE(cut);
     TestCluster cluster(1);
@@ -340,7 +343,7 @@
     cluster.nodes[0]->on_part = [&, default_handler = cluster.nodes[0]->on_part](const auto& part,
                                                                                  auto& from) {
       if (parts_until_cut > 0 && --parts_until_cut == 0)
-        from.say(frame('R', part.id + " done 1 -\nq@1").substr(0, cut));
+        from.say(encode_frame('R', part.id + " done 1 -\nq@1").substr(0, cut));
       if (parts_until_cut == 0 && part.id.starts_with("n")) default_handler(part, from);
     };
     TestClient first(cluster), second(cluster);
