--- a/src/clients/bodies.cpp
+++ b/src/clients/bodies.cpp
@@ -74,7 +74,7 @@
   if (path.size() < 2 || path.front() != '/') throw BadRequest(400, "no such path");
   const auto name = path.substr(1, path.find('/', 1) - 1);
   Ask ask;
-  ask.vertical = look_up(asked.verticals, name);
+  ask.vertical = find_index(asked.verticals, name);
   if (ask.vertical == kNone) throw BadRequest(404, "no such vertical");
   if (request.method() != http::verb::post) throw BadRequest(405, "a query is a POST");
   ask.id = word(header(request, "X-Txn"), "X-Txn");
--- a/src/clients/bodies.hpp
+++ b/src/clients/bodies.hpp
@@ -42,7 +42,7 @@
 
 // What a request must fit.
 struct Asked {
-  Names verticals;
+  NameIndex verticals;
   std::vector<Effect> effects;  // by vertical
   int shards = 0;
 };
--- a/src/commands/run.cpp
+++ b/src/commands/run.cpp
@@ -14,7 +14,7 @@
   try {
     if (const char* path = std::getenv("RELAY_CONFIG"); config_path.empty() && path != nullptr)
       config_path = path;
-    if (config_path.empty()) throw Malformed("configuration: RELAY_CONFIG is not set");
+    if (config_path.empty()) throw InputError("configuration: RELAY_CONFIG is not set");
     auto config = load_config(config_path);
     if (!operators.empty()) load_operators_into(config, operators);
     boost::asio::io_context context(1);
--- a/src/discovery/list.cpp
+++ b/src/discovery/list.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <limits>
 
-#include "settings/fields.hpp"
+#include "settings/json_fields.hpp"
 
 namespace yoketurn {
 
@@ -14,19 +14,19 @@
 
 Member read_member(const json::value& value) {
   const auto* object = value.if_object();
-  if (object == nullptr) throw Malformed("list: an entry is no object");
+  if (object == nullptr) throw InputError("list: an entry is no object");
   Member member;
-  member.id = text_field(*object, "id");
-  const auto state = text_field(*object, "state");
+  member.id = string_field(*object, "id");
+  const auto state = string_field(*object, "state");
   member.gone = state == "gone";
   member.up = state == "ready";
-  if (!member.gone && !member.up && state != "draining") complain("state", state);
-  const auto addr = text_field(*object, "addr");
+  if (!member.gone && !member.up && state != "draining") throw_invalid_value("state", state);
+  const auto addr = string_field(*object, "addr");
   const auto at = read_endpoint(addr);
-  if (!at) complain("addr", addr);
+  if (!at) throw_invalid_value("addr", addr);
   member.at = *at;
-  member.zone = text_field(*object, "zone");
-  member.cell = number_field<int>(*object, "cell", 0, static_cast<int>(kLargestIndex));
+  member.zone = string_field(*object, "zone");
+  member.cell = number_field<int>(*object, "cell", 0, static_cast<int>(kMaxIndex));
   member.started = {number_field<double>(*object, "started_ms", 0, std::numeric_limits<double>::max()) / 1e3};
   return member;
 }
@@ -48,16 +48,16 @@
 MemberList read_list(const json::object& object) {
   MemberList list;
   list.version = number_field<long long>(object, "version", 0, std::numeric_limits<long long>::max());
-  const auto* full = field(object, "full").if_bool();
-  const auto* members = field(object, "servers").if_array();
-  if (full == nullptr || members == nullptr) throw Malformed("list: full or servers makes no sense");
+  const auto* full = required_field(object, "full").if_bool();
+  const auto* members = required_field(object, "servers").if_array();
+  if (full == nullptr || members == nullptr) throw InputError("list: full or servers makes no sense");
   list.full = *full;
   for (const auto& member : *members) list.members.push_back(read_member(member));
   return list;
 }
 
 MemberList read_list(std::string_view text) {
-  return read_list(parse_object(text, "the list"));
+  return read_list(parse_json_object(text, "the list"));
 }
 
 }  // namespace yoketurn
--- a/src/discovery/list.hpp
+++ b/src/discovery/list.hpp
@@ -28,7 +28,7 @@
   std::vector<Member> members;
 };
 
-// Throws Malformed on what makes no sense; what it does not know it leaves out of account.
+// Throws InputError on what makes no sense; what it does not know it leaves out of account.
 MemberList read_list(const boost::json::object& object);
 MemberList read_list(std::string_view text);
 
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -188,12 +188,12 @@
 
 void Watch::take_list(const boost::json::value& value) {
   try {
-    if (!value.is_object()) throw Malformed("the list is no JSON object");
+    if (!value.is_object()) throw InputError("the list is no JSON object");
     const auto list = read_list(value.get_object());
     const auto* const from = connection_.get();
     take(list);
     if (connection_.get() == from) heard();  // it was not left for another
-  } catch (const Malformed& error) {
+  } catch (const InputError& error) {
     unusable(error.what());
   }
 }
--- a/src/emulator/town.cpp
+++ b/src/emulator/town.cpp
@@ -47,7 +47,8 @@
   for (const auto& v : day_.verticals)
     if (v.semantics == "keyed") window_ = std::max(window_, v.window);
   for (const auto& site : day_.sites) {
-    settings_.push_back(settings(pairs(boost::json::parse(settings_text(day_, site.name)).as_object())));
+    settings_.push_back(
+        read_settings(flatten_settings(boost::json::parse(settings_text(day_, site.name)).as_object())));
     if (!options.design.module_copies) settings_.back().may_copy = false;
   }
   told_.begins = [this](FlightRef part) {
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -33,7 +33,7 @@
 }
 
 double positive(const std::string& path, const std::string& text) {
-  const auto value = to_number(text);
+  const auto value = parse_number(text);
   if (!value || *value <= 0)
     throw std::runtime_error(path + ": '" + text + "' where a number above 0 is expected");
   return *value;
@@ -133,10 +133,10 @@
   const auto config = load_config(o.config);
   auto list = config.known;
   if (!o.list.empty()) list = read_list(content_of(o.list));
-  const auto zones = index(config.zones);
+  const auto zones = index_names(config.zones);
   PlannedTown town;
   town.sites = static_cast<int>(zones.size());
-  town.shards = config.bounds.shards;
+  town.shards = config.bounds.shard_count;
   town.cells = config.settings.cells;
   town.span = config.settings.span;
   town.settings = config.settings;
@@ -144,7 +144,7 @@
   int nowhere = 0;
   for (const auto& member : list.members) {
     if (!member.up) continue;
-    const auto site = look_up(zones, member.zone);
+    const auto site = find_index(zones, member.zone);
     if (site == kNone)
       ++nowhere;
     else
--- a/src/router/config.hpp
+++ b/src/router/config.hpp
@@ -21,17 +21,17 @@
   std::size_t sockets = 0;
   std::size_t memory = 0;  // bytes; 0: not told
   MemberList known;
-  Pairs setup;  // the settings as they are told, from which these two are read
+  SettingsMap setup;  // the settings as they are told, from which these two are read
   Settings settings;
   bool peers_left_out = false;  // the protocol has no way to other routers: nothing is told though it may be
-  Bounds bounds;
+  ConnectionLimits bounds;
   std::vector<std::string> verticals, zones;
   std::string operators_path;  // empty: there is no operators' file
   Operators operators = default_operators();
 };
 
-Config read_config(std::string_view text);                          // throws Malformed
-Config load_config(const std::string& path);                        // throws Malformed
+Config read_config(std::string_view text);                          // throws InputError
+Config load_config(const std::string& path);                        // throws InputError
 void load_operators_into(Config& config, const std::string& path);  // throws BadOperators
 
 }  // namespace yoketurn
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -61,7 +61,7 @@
     const auto at = pair.find_first_of("=:");
     if (at == std::string::npos) return std::nullopt;
     const auto word = std::string_view(pair).substr(0, at);
-    const auto value = to_number(std::string_view(pair).substr(at + 1));
+    const auto value = parse_number(std::string_view(pair).substr(at + 1));
     if (!value) return std::nullopt;
     if (word == "inflight") report.in_flight = *value;
     if (word == "queue") report.queue = *value;
@@ -71,13 +71,13 @@
   return known ? std::optional(report) : std::nullopt;
 }
 
-NodeConnection::Limits node_limits(const Bounds& bounds) {
-  return {static_cast<std::size_t>(bounds.parts_a_connection), static_cast<std::size_t>(bounds.parts_a_call),
-          bounds.connect_timeout, bounds.idle_timeout};
+NodeConnection::Limits node_limits(const ConnectionLimits& bounds) {
+  return {static_cast<std::size_t>(bounds.max_parts_per_connection),
+          static_cast<std::size_t>(bounds.max_parts_per_call), bounds.connect_timeout, bounds.idle_timeout};
 }
 
 Asked asked_of(const Config& config) {
-  Asked asked{index(config.verticals), {}, config.bounds.shards};
+  Asked asked{index_names(config.verticals), {}, config.bounds.shard_count};
   for (const auto& vertical : config.settings.verticals) asked.effects.push_back(vertical.effect);
   return asked;
 }
@@ -112,9 +112,9 @@
       log_(log),
       config_(config),
       asked_(asked_of(config)),
-      zones_(index(config.zones)),
+      zones_(index_names(config.zones)),
       unix_at_zero_(unix_at_zero()),
-      shutdown_(config.bounds.longest_wait),
+      shutdown_(config.bounds.max_client_wait),
       still_(kReadsFirstAfter),
       node_ages_(config.settings.cold_time),
       standing_({config.name, site_of(config), config.verticals}, config.seed, now(), unix_at_zero_, log,
@@ -244,10 +244,10 @@
                       ? read_endpoint(operators.timeline.listen)
                       : std::nullopt;
   if (operators.timeline.on && !operators.timeline.listen.empty() && !at)
-    throw Malformed("timeline.listen can't be read");
+    throw InputError("timeline.listen can't be read");
   const auto& sites = operators.sites;
-  if (!sites.evacuate.empty() && look_up(zones_, sites.evacuate) == kNone)
-    throw Malformed("sites.evacuate: there is no site " + sites.evacuate);
+  if (!sites.evacuate.empty() && find_index(zones_, sites.evacuate) == kNone)
+    throw InputError("sites.evacuate: there is no site " + sites.evacuate);
   std::unique_ptr<TimelineServer> server;
   const auto moved = !server_ || operators.timeline.listen != before.timeline.listen;
   if (at && moved)
@@ -265,7 +265,7 @@
   queries_.sites().evacuate(
       sites.evacuate.empty()
           ? std::nullopt
-          : std::optional(Evacuation{look_up(zones_, sites.evacuate), began, sites.over,
+          : std::optional(Evacuation{find_index(zones_, sites.evacuate), began, sites.over,
                                      evacuated_until_.told(WallTime{sites.until}, WallTime::now(), began),
                                      next_tick_ <= 0}));
   if (!operators.timeline.on) {
@@ -393,7 +393,7 @@
   if (lost)
     for (const auto& member : members_.list().members) {
       const auto node = nodes_.find(member.id);
-      const auto belief = queries_.sites().belief(look_up(zones_, member.zone));
+      const auto belief = queries_.sites().belief(find_index(zones_, member.zone));
       if (node == nodes_.end() || (belief != SiteBelief::lost && belief != SiteBelief::cut_off)) continue;
       hidden_.resize(std::max(hidden_.size(), static_cast<std::size_t>(node->second) + 1));
       hidden_[static_cast<std::size_t>(node->second)] = true;
@@ -565,7 +565,7 @@
   // What comes so late must not be found without its answer by SIGKILL.
   if (phase_ == Phase::draining) q.expires = std::min(q.expires, shutdown_.answers_by());
   q.client_retry = ask.client_retry;
-  const auto no_room = open_ >= config_.bounds.max_open;
+  const auto no_room = open_ >= config_.bounds.max_in_progress;
   if (no_room || standing_.bars(at)) q.barred = no_room ? Reason::no_room : Reason::shut_out;
   for (const auto& target : ask.targets) q.work += target.work;
   auto& held = held_[number];
@@ -582,7 +582,7 @@
     recorder_->taken(number, ask.id, ask.vertical, at);
     if (no_room)
       recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::queries), open_,
-                      config_.bounds.max_open, at);
+                      config_.bounds.max_in_progress, at);
   }
   queries_.take(number, std::move(q), at);
   for (const auto& target : ask.targets) {
@@ -740,7 +740,7 @@
       continue;
     }
     const auto started = born(member);
-    hosts.push_back({node, look_up(zones_, member.zone), member.cell, member.up, started});
+    hosts.push_back({node, find_index(zones_, member.zone), member.cell, member.up, started});
     present.insert(node);
     standing_.member(node, member);
     if (recorder_) {
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -140,7 +140,7 @@
   Log& log_;
   Config config_;
   Asked asked_;
-  Names zones_;
+  NameIndex zones_;
   double unix_at_zero_;
   WallDeadline evacuated_until_;
   Phase phase_ = Phase::starting;
--- a/src/settings/shape.cpp
+++ b/src/settings/consistency.cpp
@@ -1,4 +1,4 @@
-#include "settings/shape.hpp"
+#include "settings/consistency.hpp"
 
 #include <algorithm>
 #include <initializer_list>
@@ -7,15 +7,15 @@
 namespace {
 
 [[noreturn]] void refuse(std::string_view key, std::string_view says, const std::string& expected) {
-  throw Malformed(std::string(key) + " is '" + std::string(says) + "', expected " + expected);
+  throw InputError(std::string(key) + " is '" + std::string(says) + "', expected " + expected);
 }
 
-const std::string* find(const Pairs& setup, std::string_view key) {
+const std::string* find(const SettingsMap& setup, std::string_view key) {
   const auto at = setup.find(key);
   return at == setup.end() ? nullptr : &at->second;
 }
 
-void one_of(const Pairs& setup, std::string_view key, std::initializer_list<const char*> words) {
+void one_of(const SettingsMap& setup, std::string_view key, std::initializer_list<const char*> words) {
   const auto* says = find(setup, key);
   if (says == nullptr || std::find(words.begin(), words.end(), *says) != words.end()) return;
   std::string expected;
@@ -23,15 +23,15 @@
   refuse(key, *says, "one of " + expected);
 }
 
-double number(const Pairs& setup, std::string_view key, double absent) {
+double number(const SettingsMap& setup, std::string_view key, double absent) {
   const auto* says = find(setup, key);
   if (says == nullptr) return absent;
-  const auto value = to_number(*says);
+  const auto value = parse_number(*says);
   if (!value || *value < 0) refuse(key, *says, "a number of 0 or more");
   return *value;
 }
 
-bool flag(const Pairs& setup, std::string_view key) {
+bool flag(const SettingsMap& setup, std::string_view key) {
   one_of(setup, key, {"true", "false", "1", "0"});
   const auto* says = find(setup, key);
   return says != nullptr && (*says == "true" || *says == "1");
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-void check_shape(const Pairs& setup) {
+void check_consistency(const SettingsMap& setup) {
   one_of(setup, "discovery", {"push", "ask"});
   one_of(setup, "weights", {"off", "nominal", "rough", "live"});
   one_of(setup, "load_report.source", {"inline", "on_probe", "off"});
@@ -66,7 +66,7 @@
   if (least == nullptr || whole == nullptr) return;
   const auto shares = split(*least, ','), wholes = split(*whole, ',');
   for (std::size_t i = 0; i < std::min(shares.size(), wholes.size()); ++i)
-    if (to_number(shares[i]).value_or(0) > to_number(wholes[i]).value_or(1))
+    if (parse_number(shares[i]).value_or(0) > parse_number(wholes[i]).value_or(1))
       refuse("domain.min_share", *least, "at most domain.whole_at, " + *whole);
 }
 
--- a/src/settings/shape.hpp
+++ b/src/settings/consistency.hpp
@@ -5,8 +5,8 @@
 
 namespace yoketurn {
 
-// Throws Malformed, naming the key, what it says and what was expected. Keys that are absent have their
+// Throws InputError, naming the key, what it says and what was expected. Keys that are absent have their
 // defaults and fit anything.
-void check_shape(const Pairs& setup);
+void check_consistency(const SettingsMap& setup);
 
 }  // namespace yoketurn
--- a/src/settings/fields.hpp
+++ b/src/settings/json_fields.hpp
@@ -9,39 +9,39 @@
 
 namespace yoketurn {
 
-inline const boost::json::value& field(const boost::json::object& object, std::string_view name) {
+inline const boost::json::value& required_field(const boost::json::object& object, std::string_view name) {
   const auto* value = object.if_contains(name);
-  if (value == nullptr) throw Malformed(std::string(name) + " is missing");
+  if (value == nullptr) throw InputError(std::string(name) + " is missing");
   return *value;
 }
 
-inline std::string text_field(const boost::json::object& object, std::string_view name) {
-  const auto& value = field(object, name);
+inline std::string string_field(const boost::json::object& object, std::string_view name) {
+  const auto& value = required_field(object, name);
   const auto* text = value.if_string();
-  if (text == nullptr || text->empty()) complain(name, boost::json::serialize(value));
+  if (text == nullptr || text->empty()) throw_invalid_value(name, boost::json::serialize(value));
   return std::string(*text);
 }
 
 template <class Number>
 Number number_field(const boost::json::object& object, std::string_view name, Number least, Number most) {
-  const auto& value = field(object, name);
+  const auto& value = required_field(object, name);
   boost::system::error_code error;
   const auto number = value.to_number<Number>(error);
-  if (error || !(number >= least && number <= most)) complain(name, boost::json::serialize(value));
+  if (error || !(number >= least && number <= most)) throw_invalid_value(name, boost::json::serialize(value));
   return number;
 }
 
 inline const boost::json::object& object_field(const boost::json::object& object, std::string_view name) {
-  const auto& value = field(object, name);
-  if (!value.is_object()) complain(name, boost::json::serialize(value));
+  const auto& value = required_field(object, name);
+  if (!value.is_object()) throw_invalid_value(name, boost::json::serialize(value));
   return value.get_object();
 }
 
 // A whole text as one object.
-inline boost::json::object parse_object(std::string_view text, std::string_view what) {
+inline boost::json::object parse_json_object(std::string_view text, std::string_view what) {
   boost::system::error_code error;
   auto value = boost::json::parse(boost::json::string_view(text.data(), text.size()), error);
-  if (error || !value.is_object()) throw Malformed(std::string(what) + " is no JSON object");
+  if (error || !value.is_object()) throw InputError(std::string(what) + " is no JSON object");
   return std::move(value.get_object());
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -7,15 +7,15 @@
 
 namespace yoketurn {
 
-std::optional<double> to_number(std::string_view text) {
+std::optional<double> parse_number(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
   return value;
 }
 
-void complain(std::string_view what, std::string_view word) {
-  throw Malformed(std::string(what) + ": '" + std::string(word) + "' makes no sense");
+void throw_invalid_value(std::string_view what, std::string_view word) {
+  throw InputError(std::string(what) + ": '" + std::string(word) + "' makes no sense");
 }
 
 namespace {
@@ -23,12 +23,12 @@
 // Reads required and optional figures of the settings, by path.
 class Reader {
  public:
-  explicit Reader(const Pairs& setup) : setup_(setup) {}
+  explicit Reader(const SettingsMap& setup) : setup_(setup) {}
 
   double number(const std::string& path, double least) const {
-    const auto& text = required(setup_, path);
-    const auto value = to_number(text);
-    if (!value || *value < least) complain(path, text);
+    const auto& text = required_setting(setup_, path);
+    const auto value = parse_number(text);
+    if (!value || *value < least) throw_invalid_value(path, text);
     return *value;
   }
   double optional(const std::string& path, double absent) const {
@@ -37,35 +37,35 @@
   double seconds(const std::string& path) const { return number(path, 0) / 1e6; }
   int count(const std::string& path, int least) const {
     const auto value = number(path, least);
-    if (value > kLargestIndex) complain(path, required(setup_, path));
+    if (value > kMaxIndex) throw_invalid_value(path, required_setting(setup_, path));
     return static_cast<int>(value);
   }
   bool flag(const std::string& path) const {
-    const auto& text = required(setup_, path);
+    const auto& text = required_setting(setup_, path);
     if (text == "true" || text == "1") return true;
     if (text == "false" || text == "0") return false;
-    complain(path, text);
+    throw_invalid_value(path, text);
   }
   std::vector<double> numbers(const std::string& path, std::size_t size) const {
     std::vector<double> values;
-    for (const auto& text : split(required(setup_, path), ',')) {
-      const auto value = to_number(text);
-      if (!value || *value < 0 || *value > kLargestIndex) complain(path, text);
+    for (const auto& text : split(required_setting(setup_, path), ',')) {
+      const auto value = parse_number(text);
+      if (!value || *value < 0 || *value > kMaxIndex) throw_invalid_value(path, text);
       values.push_back(*value);
     }
-    if (values.size() != size) complain(path, required(setup_, path));
+    if (values.size() != size) throw_invalid_value(path, required_setting(setup_, path));
     return values;
   }
 
  private:
-  const Pairs& setup_;
+  const SettingsMap& setup_;
 };
 
 Effect effect(const std::string& text) {
   if (text == "safe") return Effect::repeatable;
   if (text == "keyed") return Effect::deduplicated;
   if (text == "unsafe") return Effect::side_effecting;
-  complain("semantics", text);
+  throw_invalid_value("semantics", text);
 }
 
 bool plain(const boost::json::value& value) {
@@ -78,7 +78,7 @@
   return boost::json::serialize(value);
 }
 
-void flatten(const std::string& path, const boost::json::value& value, Pairs& result) {
+void flatten(const std::string& path, const boost::json::value& value, SettingsMap& result) {
   if (const auto* object = value.if_object()) {
     for (const auto& [name, inner] : *object)
       flatten(path.empty() ? std::string(name) : path + "." + std::string(name), inner, result);
@@ -102,12 +102,12 @@
 
 }  // namespace
 
-Pairs pairs(std::string_view text) {
-  Pairs result;
+SettingsMap parse_settings_text(std::string_view text) {
+  SettingsMap result;
   for (const auto& pair : split(text, ' ')) {
     if (pair.empty()) continue;
     const auto at = pair.find('=');
-    if (at == std::string::npos) complain("setup", pair);
+    if (at == std::string::npos) throw_invalid_value("setup", pair);
     result[pair.substr(0, at)] = pair.substr(at + 1);
   }
   return result;
@@ -123,29 +123,29 @@
   return result;
 }
 
-const std::string& required(const Pairs& setup, std::string_view path) {
+const std::string& required_setting(const SettingsMap& setup, std::string_view path) {
   const auto at = setup.find(path);
-  if (at == setup.end()) throw Malformed("setting " + std::string(path) + " is missing");
+  if (at == setup.end()) throw InputError("setting " + std::string(path) + " is missing");
   return at->second;
 }
 
-std::vector<std::string> names(const Pairs& setup, std::string_view list) {
+std::vector<std::string> read_names(const SettingsMap& setup, std::string_view list) {
   std::vector<std::string> result;
   const auto prefix = std::string(list);
   const auto count = setup.find(prefix + ".count");
   if (count == setup.end()) return result;
-  const auto many = to_number(count->second);
-  if (!many || *many < 0 || *many > 1e4) complain(count->first, count->second);
+  const auto many = parse_number(count->second);
+  if (!many || *many < 0 || *many > 1e4) throw_invalid_value(count->first, count->second);
   for (int i = 0; i < static_cast<int>(*many); ++i)
-    result.push_back(required(setup, prefix + "." + std::to_string(i) + ".name"));
+    result.push_back(required_setting(setup, prefix + "." + std::to_string(i) + ".name"));
   return result;
 }
 
-Settings settings(const Pairs& setup) {
+Settings read_settings(const SettingsMap& setup) {
   const Reader read(setup);
   Settings s;
-  const auto verticals = names(setup, "classes");
-  if (verticals.empty()) throw Malformed("setting classes.count is missing or 0");
+  const auto verticals = read_names(setup, "classes");
+  if (verticals.empty()) throw InputError("setting classes.count is missing or 0");
   const auto many = verticals.size();
   const auto least = read.numbers("domain.min_share", many);
   const auto whole = read.numbers("domain.whole_at", many);
@@ -158,7 +158,7 @@
     v.slo_stretch = read.optional(path + "aim_stretch", 0);
     v.utility = read.number(path + "credit", 0);
     v.late_utility = read.number(path + "late_worth", 0);
-    v.effect = effect(required(setup, path + "semantics"));
+    v.effect = effect(required_setting(setup, path + "semantics"));
     if (v.effect == Effect::deduplicated) v.window = read.seconds(path + "window_us");
     v.least = least[i];
     v.whole = whole[i];
@@ -166,22 +166,22 @@
     v.second_step = static_cast<int>(steps[i]);
     s.verticals.push_back(v);
   }
-  const auto customers = names(setup, "customers");
+  const auto customers = read_names(setup, "customers");
   for (std::size_t i = 0; i < customers.size(); ++i)
     s.customers.push_back({read.number("customers." + std::to_string(i) + ".quota_rps", 0)});
   s.routers = read.count("balancers", 1);
-  const auto zones = split(required(setup, "zones"), ',');
-  const auto zone = std::find(zones.begin(), zones.end(), required(setup, "zone"));
+  const auto zones = split(required_setting(setup, "zones"), ',');
+  const auto zone = std::find(zones.begin(), zones.end(), required_setting(setup, "zone"));
   s.zone = zone == zones.end() ? kNone : static_cast<int>(zone - zones.begin());
   s.tick = read.seconds("resolution_us");
   s.max_calls = read.count("bounds.max_attempts", 1);
   s.may_copy = read.flag("bounds.may_duplicate");
   s.may_cancel = read.flag("bounds.cancel");
   s.may_tell = setup.contains("bounds.peer_messages") && read.flag("bounds.peer_messages");
-  s.must_ask_list = required(setup, "discovery") == "ask";
+  s.must_ask_list = required_setting(setup, "discovery") == "ask";
   s.max_stay_away = read.flag("bounds.retry_after") ? read.seconds("bounds.max_retry_after_us") : 0;
   s.over_share = read.optional("over_share_worth", 1);
-  s.utility_by_work = required(setup, "worth_by") == "work";
+  s.utility_by_work = required_setting(setup, "worth_by") == "work";
   s.parts_a_call = read.count("domain.parts_a_call", 1);
   s.cells = read.count("domain.places", 1);
   s.span = read.count("domain.span", 1);
@@ -195,34 +195,35 @@
   return s;
 }
 
-Pairs pairs(const boost::json::object& nested) {
-  Pairs result;
+SettingsMap flatten_settings(const boost::json::object& nested) {
+  SettingsMap result;
   flatten("", nested, result);
   return result;
 }
 
-Bounds bounds(const Pairs& setup) {
+ConnectionLimits read_connection_limits(const SettingsMap& setup) {
   const Reader read(setup);
-  Bounds b;
-  b.shards = read.count("domain.slices", 1);
-  b.max_open = read.count("bounds.max_open", 1);
-  b.parts_a_connection = read.count("bounds.streams_per_conn", 1);
-  b.parts_a_call = read.count("domain.parts_a_call", 1);
+  ConnectionLimits b;
+  b.shard_count = read.count("domain.slices", 1);
+  b.max_in_progress = read.count("bounds.max_open", 1);
+  b.max_parts_per_connection = read.count("bounds.streams_per_conn", 1);
+  b.max_parts_per_call = read.count("domain.parts_a_call", 1);
   b.connect_timeout = read.seconds("bounds.connect_timeout_us");
   b.idle_timeout = read.seconds("bounds.conn_idle_us");
-  const auto verticals = names(setup, "classes").size();
+  const auto verticals = read_names(setup, "classes").size();
   for (std::size_t i = 0; i < verticals; ++i)
-    b.longest_wait = std::max(b.longest_wait, read.seconds("classes." + std::to_string(i) + ".deadline_us"));
+    b.max_client_wait =
+        std::max(b.max_client_wait, read.seconds("classes." + std::to_string(i) + ".deadline_us"));
   return b;
 }
 
-Names index(const std::vector<std::string>& names) {
-  Names result;
+NameIndex index_names(const std::vector<std::string>& names) {
+  NameIndex result;
   for (const auto& name : names) result.emplace(name, static_cast<int>(result.size()));
   return result;
 }
 
-int look_up(const Names& names, std::string_view name) {
+int find_index(const NameIndex& names, std::string_view name) {
   const auto at = names.find(name);
   return at == names.end() ? kNone : at->second;
 }
--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -22,13 +22,13 @@
 void Host::open(Fields& fields) {
   const std::string name(fields.word("router"));
   const auto seed = fields.natural("nonce64");
-  const auto setup = pairs(fields.rest());
+  const auto setup = parse_settings_text(fields.rest());
   try {
     instances_[name] = std::make_unique<Instance>(name, seed, setup, now_);
     find(name);
   } catch (const std::exception& error) {
     fault(name, error.what());
-    throw Malformed(error.what());
+    throw InputError(error.what());
   }
 }
 
@@ -36,7 +36,7 @@
   Fields fields(line);
   const auto what = fields.word("message");
   if (what == "node") {
-    if (missing_ == 0) throw Malformed("node: no list has room for it");
+    if (missing_ == 0) throw InputError("node: no list has room for it");
     --missing_;
     Entry entry;
     entry.node = fields.integer("node");
@@ -53,7 +53,7 @@
     const auto ref = fields.integer("ref");
     const auto many = fields.integer("hosts");
     if (ref < 0 || ref >= static_cast<long long>(kLists) || many < 0)
-      throw Malformed("inventory: out of range");
+      throw InputError("inventory: out of range");
     filling_ = &lists_[static_cast<std::size_t>(ref)];
     filling_->clear();
     missing_ = static_cast<std::size_t>(many);
@@ -71,7 +71,7 @@
     if (what == "membership") {
       const auto kind = fields.word("kind");
       const auto ref = fields.number("ref", 0);
-      if (ref < 0 || ref >= static_cast<double>(kLists)) throw Malformed("ref: out of range");
+      if (ref < 0 || ref >= static_cast<double>(kLists)) throw InputError("ref: out of range");
       instance->on_list(kind, lists_[static_cast<std::size_t>(ref)], now_);
     } else if (what == "demand") {
       instance->on_demand(fields, now_);
@@ -84,9 +84,9 @@
     } else if (what == "reminder") {
       instance->on_reminder(fields.word("nonce"), now_);
     } else if (what != "started" && what != "sampled") {
-      throw Malformed("message '" + std::string(what) + "' is unknown");
+      throw InputError("message '" + std::string(what) + "' is unknown");
     }
-  } catch (const Malformed&) {
+  } catch (const InputError&) {
     throw;
   } catch (const std::exception& error) {
     fault(name, error.what());
@@ -120,7 +120,7 @@
       } else {
         event(line);
       }
-    } catch (const Malformed& error) {
+    } catch (const InputError& error) {
       log << "line " << number << ": " << error.what() << std::endl;
     }
   }
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -30,12 +30,12 @@
 
 }  // namespace
 
-Instance::Instance(std::string name, std::uint64_t seed, const Pairs& setup, double now)
+Instance::Instance(std::string name, std::uint64_t seed, const SettingsMap& setup, double now)
     : name_(std::move(name)),
-      queries_(settings(setup), seed, now, due_, *this),
-      verticals_(index(names(setup, "classes"))),
-      customers_(index(names(setup, "customers"))),
-      zones_(index(split(required(setup, "zones"), ','))) {}
+      queries_(read_settings(setup), seed, now, due_, *this),
+      verticals_(index_names(read_names(setup, "classes"))),
+      customers_(index_names(read_names(setup, "customers"))),
+      zones_(index_names(split(required_setting(setup, "zones"), ','))) {}
 
 template <class... Parts>
 void Instance::say(const char* verb, Parts... parts) {
@@ -57,19 +57,19 @@
 void Instance::on_list(std::string_view kind, const std::vector<Entry>& entries, double now) {
   if (kind == "lost") return queries_.list_failed(now);
   if (kind != "incr" && kind != "total" && kind != "warm_copy")
-    throw Malformed("kind: '" + std::string(kind) + "' makes no sense");
+    throw InputError("kind: '" + std::string(kind) + "' makes no sense");
   std::vector<yoketurn::Host> hosts;
   for (const auto& entry : entries)
     hosts.push_back(
-        {node(entry.node), look_up(zones_, entry.zone), entry.cell, entry.status == 'U', entry.born});
+        {node(entry.node), find_index(zones_, entry.zone), entry.cell, entry.status == 'U', entry.born});
   queries_.list(hosts, kind != "incr", now, kind != "warm_copy");
 }
 
 void Instance::on_demand(Fields& fields, double now) {
   const auto id = fields.integer("xid");
-  const auto vertical = look_up(verticals_, fields.word("service"));
-  if (vertical == kNone) throw Malformed("service: no such vertical");
-  const auto customer = look_up(customers_, fields.word("realm"));
+  const auto vertical = find_index(verticals_, fields.word("service"));
+  if (vertical == kNone) throw InputError("service: no such vertical");
+  const auto customer = find_index(customers_, fields.word("realm"));
   fields.word("object");
   const auto expires = fields.seconds("not_after_us", now);
   const auto work = fields.seconds("effort_us", 0);
@@ -85,7 +85,7 @@
     ids_[ask].leaves.push_back(id);
     return;
   }
-  if (queries_.holds(ask)) throw Malformed("ask_no: that query is held already");
+  if (queries_.holds(ask)) throw InputError("ask_no: that query is held already");
   Query q;
   q.vertical = vertical;
   q.customer = customer;
@@ -126,7 +126,7 @@
 void Instance::on_message(Fields& fields, double now) {
   fields.integer("from");
   const auto raw = decode(fields.word("raw"));
-  if (!raw || raw->size() % kWordBytes != 0) throw Malformed("raw: no words of a router");
+  if (!raw || raw->size() % kWordBytes != 0) throw InputError("raw: no words of a router");
   for (std::size_t i = 0; i < raw->size(); i += kWordBytes) {
     std::uint32_t of_node = 0;
     for (std::size_t j = 0; j + 1 < kWordBytes; ++j)
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -24,7 +24,7 @@
 
 class Instance : private Actions {
  public:
-  Instance(std::string name, std::uint64_t seed, const Pairs& setup, double now);
+  Instance(std::string name, std::uint64_t seed, const SettingsMap& setup, double now);
 
   void on_list(std::string_view kind, const std::vector<Entry>& entries, double now);
   void on_demand(Fields& fields, double now);
@@ -56,7 +56,7 @@
   std::string name_;
   DueTimes due_;
   Queries queries_;
-  Names verticals_, customers_, zones_;
+  NameIndex verticals_, customers_, zones_;
   std::unordered_map<long long, int> nodes_;
   std::vector<long long> node_ids_;
   std::unordered_map<std::uint32_t, int> marks_;                     // nodes by their marks in messages
--- a/src/wire/text.cpp
+++ b/src/wire/text.cpp
@@ -6,10 +6,10 @@
 
 namespace yoketurn::wire {
 std::string_view Fields::word(const char* what) {
-  if (rest_.empty()) throw Malformed(std::string(what) + " is missing");
+  if (rest_.empty()) throw InputError(std::string(what) + " is missing");
   const auto end = std::min(rest_.find(' '), rest_.size());
   const auto result = rest_.substr(0, end);
-  if (result.empty()) throw Malformed(std::string(what) + " is empty");
+  if (result.empty()) throw InputError(std::string(what) + " is empty");
   rest_.remove_prefix(std::min(end + 1, rest_.size()));
   return result;
 }
@@ -19,7 +19,7 @@
   const auto text = word(what);
   Number value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size()) complain(what, text);
+  if (error != std::errc{} || end != text.data() + text.size()) throw_invalid_value(what, text);
   return value;
 }
 
@@ -32,16 +32,16 @@
 
 int Fields::index(const char* what) {
   const auto text = word(what);
-  const auto value = to_number(text);
-  if (!value || std::abs(*value) > kLargestIndex) complain(what, text);
+  const auto value = parse_number(text);
+  if (!value || std::abs(*value) > kMaxIndex) throw_invalid_value(what, text);
   return static_cast<int>(*value);
 }
 
 double Fields::number(const char* what, double absent) {
   const auto text = word(what);
   if (text == "-") return absent;
-  const auto value = to_number(text);
-  if (!value) complain(what, text);
+  const auto value = parse_number(text);
+  if (!value) throw_invalid_value(what, text);
   return *value;
 }
 
@@ -57,7 +57,7 @@
       {"withdrawn", Outcome::cancelled},     {"void", Outcome::unsent}};
   for (const auto& [word, meaning] : kWords)
     if (word == verdict) return meaning;
-  complain("verdict", verdict);
+  throw_invalid_value("verdict", verdict);
 }
 
 namespace {
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -220,7 +220,7 @@
     CAPTURE(to);
     auto bad = good;
     bad.replace(bad.find(from), std::string(from).size(), to);
-    CHECK_THROWS_AS(read_list(bad), Malformed);
+    CHECK_THROWS_AS(read_list(bad), InputError);
   }
 }
 
@@ -236,13 +236,13 @@
   CHECK(config.settings.customers.empty());
   CHECK(config.settings.max_stay_away == 0.5);
   CHECK(config.bounds.idle_timeout == 15);
-  CHECK(config.bounds.max_open == 200);
-  const auto wire = pairs("a=1 classes.count=1 classes.0.name=look");
-  CHECK(names(wire, "classes") == std::vector<std::string>{"look"});
+  CHECK(config.bounds.max_in_progress == 200);
+  const auto wire = parse_settings_text("a=1 classes.count=1 classes.0.name=look");
+  CHECK(read_names(wire, "classes") == std::vector<std::string>{"look"});
 }
 
 TEST_CASE("a configuration that is missing or broken is told") {
-  CHECK_THROWS_AS(load_config("/nonexistent/config.json"), Malformed);
+  CHECK_THROWS_AS(load_config("/nonexistent/config.json"), InputError);
   const std::pair<const char*, const char*> wrong[] = {
       {"{", "["},
       {"\"seed\":\"8c", "\"seed\":\"zz"},
@@ -257,7 +257,7 @@
     CAPTURE(to);
     auto bad = valid_config();
     bad.replace(bad.find(from), std::string(from).size(), to);
-    CHECK_THROWS_AS(read_config(bad), Malformed);
+    CHECK_THROWS_AS(read_config(bad), InputError);
   }
 }
 
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -186,7 +186,7 @@
 
   Recorder recorder;
   DueTimes due;
-  Queries queries(settings(pairs(setup)), 77, 1, due, recorder);
+  Queries queries(read_settings(parse_settings_text(setup)), 77, 1, due, recorder);
   const Host hosts[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
   queries.list(hosts, true, 1);
   std::string text = "frame 1000000 1\nopen_instance router-0 77 " + setup +
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -703,7 +703,7 @@
     std::string said;
     try {
       read_config(bad);
-    } catch (const Malformed& error) {
+    } catch (const InputError& error) {
       said = error.what();
     }
     CHECK(said.starts_with(row.why));
