--- a/src/commands/check.cpp
+++ b/src/commands/check.cpp
@@ -24,11 +24,11 @@
   std::size_t memory = 0;
   try {
     if (!config.empty()) memory = load_config(config).memory;
-    if (!file.empty()) load_operators(file, memory);
+    if (!file.empty()) load_operator_settings(file, memory);
     fmt::print("{}: good\n", file.empty() ? config : file);
     return 0;
-  } catch (const BadOperators& bad) {
-    for (const auto& problem : bad.problems) fmt::print("{}\n", to_text(problem, file));
+  } catch (const InfoFileError& bad) {
+    for (const auto& problem : bad.problems) fmt::print("{}\n", format_problem(problem, file));
   } catch (const std::exception& error) {
     fmt::print("{}: {}\n", config, error.what());
   }
--- a/src/operators/operators.cpp
+++ b/src/operators/operators.cpp
@@ -25,16 +25,16 @@
 constexpr std::size_t kLargestFile = 1 << 20;
 
 using enum EntryType;
-constexpr Entry kEntries[] = {
-    {"log.format", word, 0, 0, "text json", "text", "Form of a log line."},
-    {"log.level", word, 0, 0, "debug info warning error", "info", "The least level that is written."},
+constexpr EntrySpec kEntries[] = {
+    {"log.format", choice, 0, 0, "text json", "text", "Form of a log line."},
+    {"log.level", choice, 0, 0, "debug info warning error", "info", "The least level that is written."},
     {"log.queue", size, 4 * kKiB, 16 * kMiB, "", "256KiB",
      "Log lines that wait while the reader of standard output stalls; what does not fit is counted and "
      "told."},
     {"timeline.on", flag, 0, 0, "", "no",
      "Keep a time line of every data node, the clients' door and the loop."},
     {"timeline.memory", size, 256 * kKiB, 8 * kGiB, "", "4MiB", "Memory of the time line, all in."},
-    {"timeline.fine", share, 0.1, 0.9, "", "50%",
+    {"timeline.fine", percentage, 0.1, 0.9, "", "50%",
      "Share of that memory for single events; the rest holds summaries."},
     {"timeline.lines", count, 4, 100'000, "", "512", "Nodes that have a line, those that are gone included."},
     {"timeline.listen", endpoint, 0, 0, "", "off",
@@ -50,29 +50,31 @@
      "Events that wait for the disk; more are counted as a gap."},
     {"departures.on", flag, 0, 0, "", "yes",
      "Tell when a node departs from its usual behaviour (needs the time line)."},
-    {"departures.slow", figure, 1.2, 100, "", "2.5", "Times its usual latency at which a node is slow."},
-    {"departures.stall", figure, 2, 1000, "", "6",
+    {"departures.slow", decimal, 1.2, 100, "", "2.5", "Times its usual latency at which a node is slow."},
+    {"departures.stall", decimal, 2, 1000, "", "6",
      "Times its usual latency without any answer that make a stall."},
     {"departures.least", duration, 0.01, 60, "", "300ms", "A stall is no shorter than this."},
-    {"departures.fails", share, 0.01, 1, "", "20%", "Share of bad outcomes at which a node fails."},
+    {"departures.fails", percentage, 0.01, 1, "", "20%", "Share of bad outcomes at which a node fails."},
     {"departures.flaps", count, 2, 1000, "", "4", "Changes of its state in a minute at which a node flaps."},
     {"departures.reports", duration, 0.1, 3600, "", "3s", "A load report of this age is late."},
-    {"departures.alarms", figure, 0.0001, 1000, "", "0.5",
+    {"departures.alarms", decimal, 0.0001, 1000, "", "0.5",
      "False alarms a node and day that may be expected."},
-    {"departures.fleet", share, 0.1, 1, "", "50%", "Share of the nodes that makes one event of the fleet."},
+    {"departures.fleet", percentage, 0.1, 1, "", "50%",
+     "Share of the nodes that makes one event of the fleet."},
     {"departures.most", count, 16, 100'000, "", "4096", "Departures open at once that are kept."},
     {"sites.on", flag, 0, 0, "", "yes",
      "Take the loss of a whole site (a zone of the list) for one event, and pace its return."},
     {"sites.evacuate", name, 0, 0, "", "off", "A site that is to be emptied."},
     {"sites.over", duration, 1, kDay, "", "30s",
      "Time in which its share goes down to nothing, and up again afterwards."},
-    {"sites.until", moment, 0, 0, "", "off", "From then on it is filled again; needed with sites.evacuate."},
+    {"sites.until", timestamp, 0, 0, "", "off",
+     "From then on it is filled again; needed with sites.evacuate."},
     {"fleet.orders", path, 0, 0, "", "off",
      "Folder in which the auditor leaves an order for this router, as NAME.info."},
     {"fleet.longest", duration, 1, kDay, "", "15m", "No order is obeyed for longer than this."},
     {"fleet.alone", flag, 0, 0, "", "no",
      "Ask for the whole list again, and step aside by chance, on the router's own doubt."},
-    {"fleet.share", share, 0.01, 0.5, "", "10%",
+    {"fleet.share", percentage, 0.01, 0.5, "", "10%",
      "Share of the routers in long doubt that step aside by themselves."},
     {"fleet.intervals", count, 8, 100'000, "", "512",
      "Intervals of versions that are kept for readers at timeline.listen."},
@@ -85,16 +87,16 @@
 constexpr Unit kTimes[] = {{"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}, {"d", kDay}};
 constexpr Unit kSizes[] = {{"KiB", kKiB}, {"MiB", kMiB}, {"GiB", kGiB}, {"B", 1}};
 
-std::string expected(const Entry& e) {
+std::string expected(const EntrySpec& e) {
   switch (e.type) {
     case flag:
       return "yes or no";
     case count:
-      return fmt::format("a whole number from {:.0f} to {:.0f}", e.least, e.most);
-    case share:
-      return fmt::format("a share from {:g}% to {:g}%", e.least * 100, e.most * 100);
-    case figure:
-      return fmt::format("a number from {:g} to {:g}", e.least, e.most);
+      return fmt::format("a whole number from {:.0f} to {:.0f}", e.min, e.max);
+    case percentage:
+      return fmt::format("a share from {:g}% to {:g}%", e.min * 100, e.max * 100);
+    case decimal:
+      return fmt::format("a number from {:g} to {:g}", e.min, e.max);
     case duration: {
       const auto shown = [](double s) {
         const Unit* best = kTimes;
@@ -102,8 +104,8 @@
           if (s >= unit.worth) best = &unit;
         return fmt::format("{:g}{}", s / best->worth, best->name);
       };
-      return fmt::format("a time with its unit (us, ms, s, m, h, d) from {} to {}{}", shown(e.least),
-                         shown(e.most), e.fallback == "off" ? ", or off" : "");
+      return fmt::format("a time with its unit (us, ms, s, m, h, d) from {} to {}{}", shown(e.min),
+                         shown(e.max), e.default_value == "off" ? ", or off" : "");
     }
     case size: {
       const auto shown = [](double s) {
@@ -111,25 +113,22 @@
                : s >= kMiB ? fmt::format("{:g}MiB", s / kMiB)
                            : fmt::format("{:g}KiB", s / kKiB);
       };
-      return fmt::format("a size with its unit (B, KiB, MiB, GiB) from {} to {}", shown(e.least),
-                         shown(e.most));
+      return fmt::format("a size with its unit (B, KiB, MiB, GiB) from {} to {}", shown(e.min), shown(e.max));
     }
-    case word:
-      return fmt::format("one of: {}", e.words);
+    case choice:
+      return fmt::format("one of: {}", e.choices);
     case endpoint:
       return "host:port on loopback, or off";
     case path:
       return "an absolute path, or off";
     case name:
       return "a name, or off";
-    case moment:
+    case timestamp:
       return "a moment in UTC such as 2027-01-31T22:00:00Z, or off";
   }
   return "";
 }
 
-using Value = Given;
-
 std::optional<double> plain(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -168,48 +167,48 @@
   return static_cast<double>(::timegm(&when));
 }
 
-std::optional<Value> value_of(const Entry& e, const std::string& text) {
-  const auto within = [&](std::optional<double> number) -> std::optional<Value> {
-    if (!number || *number < e.least || *number > e.most) return std::nullopt;
-    return Value{*number, {}};
+std::optional<EntryValue> value_of(const EntrySpec& e, const std::string& text) {
+  const auto within = [&](std::optional<double> number) -> std::optional<EntryValue> {
+    if (!number || *number < e.min || *number > e.max) return std::nullopt;
+    return EntryValue{*number, {}};
   };
-  const auto off = text == "off" && e.fallback == "off";
+  const auto off = text == "off" && e.default_value == "off";
   switch (e.type) {
     case flag:
-      if (text == "yes" || text == "no") return Value{text == "yes" ? 1.0 : 0.0, {}};
+      if (text == "yes" || text == "no") return EntryValue{text == "yes" ? 1.0 : 0.0, {}};
       return std::nullopt;
     case count: {
       const auto number = plain(text);
       return number && *number == std::floor(*number) ? within(number) : std::nullopt;
     }
-    case share: {
+    case percentage: {
       const auto number =
           text.ends_with('%') ? plain(std::string_view(text).substr(0, text.size() - 1)) : std::nullopt;
       return number ? within(*number / 100) : std::nullopt;
     }
-    case figure:
+    case decimal:
       return within(plain(text));
     case duration:
-      return off ? Value{} : within(with_unit(text, kTimes));
+      return off ? EntryValue{} : within(with_unit(text, kTimes));
     case size:
       return within(with_unit(text, kSizes));
-    case word: {
-      std::istringstream words{std::string(e.words)};
+    case choice: {
+      std::istringstream words{std::string(e.choices)};
       for (std::string one; words >> one;)
-        if (one == text) return Value{0, text};
+        if (one == text) return EntryValue{0, text};
       return std::nullopt;
     }
     case endpoint:
-      if (off) return Value{};
-      return loopback(text) ? std::optional(Value{0, text}) : std::nullopt;
+      if (off) return EntryValue{};
+      return loopback(text) ? std::optional(EntryValue{0, text}) : std::nullopt;
     case path:
-      if (off) return Value{};
-      return text.starts_with('/') ? std::optional(Value{0, text}) : std::nullopt;
+      if (off) return EntryValue{};
+      return text.starts_with('/') ? std::optional(EntryValue{0, text}) : std::nullopt;
     case name:
-      return off ? Value{} : text.empty() ? std::nullopt : std::optional(Value{0, text});
-    case moment:
-      if (off) return Value{};
-      if (const auto at = unix_of(text)) return Value{*at, text};
+      return off ? EntryValue{} : text.empty() ? std::nullopt : std::optional(EntryValue{0, text});
+    case timestamp:
+      if (off) return EntryValue{};
+      if (const auto at = unix_of(text)) return EntryValue{*at, text};
       return std::nullopt;
   }
   return std::nullopt;
@@ -231,7 +230,7 @@
   return row.back();
 }
 
-std::string nearest(std::string_view path, std::span<const Entry> table) {
+std::string nearest(std::string_view path, std::span<const EntrySpec> table) {
   std::set<std::string> known;
   for (const auto& e : table) {
     known.emplace(e.path);
@@ -293,7 +292,7 @@
 
 class Checker {
  public:
-  Checker(std::string_view text, std::span<const Entry> table) : table_(table) {
+  Checker(std::string_view text, std::span<const EntrySpec> table) : table_(table) {
     for (const auto& [path, line] : places(text)) places_[path].push_back(line);
   }
 
@@ -302,9 +301,9 @@
       const auto path = above.empty() ? name : above + "." + name;
       const auto line = take_place(path);
       const auto entry =
-          std::find_if(table_.begin(), table_.end(), [&](const Entry& e) { return e.path == path; });
+          std::find_if(table_.begin(), table_.end(), [&](const EntrySpec& e) { return e.path == path; });
       const auto group = std::any_of(table_.begin(), table_.end(),
-                                     [&](const Entry& e) { return e.path.starts_with(path + "."); });
+                                     [&](const EntrySpec& e) { return e.path.starts_with(path + "."); });
       if (entry == table_.end() && !group) {
         problems.push_back(
             {line, path, fmt::format("no such entry; the nearest is {}", nearest(path, table_))});
@@ -327,8 +326,8 @@
     return at == first_.end() ? 0 : at->second;
   }
 
-  std::map<std::string, Value> values;
-  std::vector<Problem> problems;
+  std::map<std::string, EntryValue> values;
+  std::vector<FileProblem> problems;
 
  private:
   int take_place(const std::string& path) {
@@ -339,23 +338,23 @@
     first_.emplace(path, line);
     return line;
   }
-  std::span<const Entry> table_;
+  std::span<const EntrySpec> table_;
   std::map<std::string, std::vector<int>> places_;
   std::map<std::string, int> first_;
   std::set<std::string> seen_;
 };
 
-Operators fill(const std::map<std::string, Value>& given) {
+OperatorSettings fill(const std::map<std::string, EntryValue>& given) {
   const auto of = [&](const char* path) {
     if (const auto at = given.find(path); at != given.end()) return at->second;
     const auto entry = std::find_if(std::begin(kEntries), std::end(kEntries),
-                                    [&](const Entry& e) { return e.path == path; });
-    return value_of(*entry, std::string(entry->fallback)).value();
+                                    [&](const EntrySpec& e) { return e.path == path; });
+    return value_of(*entry, std::string(entry->default_value)).value();
   };
   const auto bytes = [&](const char* path) { return static_cast<std::size_t>(of(path).number); };
   const auto whole = [&](const char* path) { return static_cast<int>(of(path).number); };
   const auto number = [&](const char* path) { return of(path).number; };
-  Operators o;
+  OperatorSettings o;
   o.log = {of("log.format").text == "json", of("log.level").text, bytes("log.queue")};
   o.timeline = {number("timeline.on") > 0, bytes("timeline.memory"),   number("timeline.fine"),
                 whole("timeline.lines"),   of("timeline.listen").text, whole("timeline.readers"),
@@ -378,90 +377,91 @@
 
 }  // namespace
 
-std::size_t Operators::memory() const {
-  auto sum = log.queue;
-  if (!timeline.on) return sum;
-  sum += timeline.memory;
-  if (!timeline.listen.empty()) sum += static_cast<std::size_t>(fleet.intervals) * kInterval;
-  if (!timeline.listen.empty()) sum += static_cast<std::size_t>(timeline.readers) * kReader;
-  if (!segments.folder.empty()) sum += static_cast<std::size_t>(segments.queue) * kEventOnTheWay;
+std::size_t OperatorSettings::memory_bytes() const {
+  auto sum = log.queue_bytes;
+  if (!timeline.enabled) return sum;
+  sum += timeline.memory_bytes;
+  if (!timeline.listen_address.empty())
+    sum += static_cast<std::size_t>(fleet.max_version_intervals) * kInterval;
+  if (!timeline.listen_address.empty()) sum += static_cast<std::size_t>(timeline.max_readers) * kReader;
+  if (!segments.folder.empty()) sum += static_cast<std::size_t>(segments.queue_events) * kEventOnTheWay;
   return sum;
 }
 
-std::span<const Entry> entries() {
+std::span<const EntrySpec> entry_specs() {
   return kEntries;
 }
 
-std::string to_text(const Problem& problem, std::string_view file) {
+std::string format_problem(const FileProblem& problem, std::string_view file) {
   const auto where =
       problem.line > 0 ? fmt::format("{}:{}: ", file, problem.line) : fmt::format("{}: ", file);
   return where + (problem.path.empty() ? "" : problem.path + ": ") + problem.what;
 }
 
-BadOperators::BadOperators(std::vector<Problem> found)
-    : std::runtime_error(to_text(found.at(0), "operators' file") +
+InfoFileError::InfoFileError(std::vector<FileProblem> found)
+    : std::runtime_error(format_problem(found.at(0), "operators' file") +
                          (found.size() > 1 ? fmt::format(" (and {} more)", found.size() - 1) : "")),
       problems(std::move(found)) {}
 
 namespace {
 
 // Problems of the whole text end it; those of entries are left in the checker.
-Checker walked(std::string_view text, std::span<const Entry> table) {
-  if (text.size() > kLargestFile) throw BadOperators({{0, "", "larger than 1 MiB"}});
+Checker walked(std::string_view text, std::span<const EntrySpec> table) {
+  if (text.size() > kLargestFile) throw InfoFileError({{0, "", "larger than 1 MiB"}});
   Checker checker(text, table);
   for (const auto& [path, line] : places(text))
-    if (path.starts_with('#')) throw BadOperators({{line, "", "takes nothing in from other files"}});
+    if (path.starts_with('#')) throw InfoFileError({{line, "", "takes nothing in from other files"}});
   Tree tree;
   try {
     std::istringstream in{std::string(text)};
     boost::property_tree::read_info(in, tree);
   } catch (const boost::property_tree::info_parser_error& error) {
-    throw BadOperators({{static_cast<int>(error.line()), "", error.message()}});
+    throw InfoFileError({{static_cast<int>(error.line()), "", error.message()}});
   }
   checker.walk(tree, "");
   return checker;
 }
 
-[[noreturn]] void refuse(std::vector<Problem> problems) {
+[[noreturn]] void refuse(std::vector<FileProblem> problems) {
   std::stable_sort(problems.begin(), problems.end(),
-                   [](const Problem& a, const Problem& b) { return a.line < b.line; });
-  throw BadOperators(std::move(problems));
+                   [](const FileProblem& a, const FileProblem& b) { return a.line < b.line; });
+  throw InfoFileError(std::move(problems));
 }
 
 }  // namespace
 
-std::map<std::string, Given> read_entries(std::string_view text, std::span<const Entry> table) {
+std::map<std::string, EntryValue> parse_entries(std::string_view text, std::span<const EntrySpec> table) {
   auto checker = walked(text, table);
   if (!checker.problems.empty()) refuse(std::move(checker.problems));
   return std::move(checker.values);
 }
 
-Operators read_operators(std::string_view text, std::size_t router_memory) {
+OperatorSettings parse_operator_settings(std::string_view text, std::size_t router_memory) {
   auto checker = walked(text, kEntries);
   auto& problems = checker.problems;
   auto result = fill(checker.values);
   std::string shared;
   for (const auto& [path, value] : checker.values) {
     const auto entry = std::find_if(std::begin(kEntries), std::end(kEntries),
-                                    [&](const Entry& e) { return e.path == path; });
+                                    [&](const EntrySpec& e) { return e.path == path; });
     if (entry->type != EntryType::endpoint && entry->type != EntryType::path)
       shared += fmt::format("{}={}/{};", path, value.number, value.text);
   }
   result.hash = XXH3_64bits(shared.data(), shared.size());
   // A router holds connections and queries beside it: half of the memory is theirs.
-  if (router_memory > 0 && result.memory() > router_memory / 2)
+  if (router_memory > 0 && result.memory_bytes() > router_memory / 2)
     problems.push_back(
         {checker.place("timeline.memory"), "timeline.memory",
          fmt::format("log, time line, readers and segments ask for {:.1f}MiB in all, more than half of "
                      "the {:.0f}MiB that the router may use",
-                     static_cast<double>(result.memory()) / kMiB,
+                     static_cast<double>(result.memory_bytes()) / kMiB,
                      static_cast<double>(router_memory) / kMiB)});
-  if (result.segments.total < 2 * result.segments.size)
+  if (result.segments.total_bytes < 2 * result.segments.segment_bytes)
     problems.push_back(
         {checker.place("segments.total"), "segments.total", "must hold two segments of segments.size"});
-  if (!result.sites.evacuate.empty() && result.sites.until <= 0)
+  if (!result.sites.evacuated_site.empty() && result.sites.evacuation_end <= 0)
     problems.push_back({checker.place("sites.evacuate"), "sites.until", "an evacuation needs its end"});
-  if (!result.timeline.on)
+  if (!result.timeline.enabled)
     for (const auto* path : {"timeline.listen", "timeline.reports", "segments.folder"})
       if (const auto at = checker.values.find(path);
           at != checker.values.end() && (at->second.number > 0 || !at->second.text.empty()))
@@ -470,16 +470,16 @@
   return result;
 }
 
-Operators load_operators(const std::string& path, std::size_t router_memory) {
+OperatorSettings load_operator_settings(const std::string& path, std::size_t router_memory) {
   std::ifstream file(path);
   std::stringstream content;
   content << file.rdbuf();
-  if (!file) throw BadOperators({{0, "", path + " can't be read"}});
-  return read_operators(content.str(), router_memory);
+  if (!file) throw InfoFileError({{0, "", path + " can't be read"}});
+  return parse_operator_settings(content.str(), router_memory);
 }
 
-Operators default_operators() {
-  return read_operators("");
+OperatorSettings default_operator_settings() {
+  return parse_operator_settings("");
 }
 
 std::string reference_page() {
@@ -495,7 +495,7 @@
       page += fmt::format("\n## {}\n\n| entry | takes | default | what it is |\n| --- | --- | --- | --- |\n",
                           group);
     }
-    page += fmt::format("| `{}` | {} | `{}` | {} |\n", e.path, expected(e), e.fallback, e.help);
+    page += fmt::format("| `{}` | {} | `{}` | {} |\n", e.path, expected(e), e.default_value, e.description);
   }
   return page;
 }
--- a/src/operators/operators.hpp
+++ b/src/operators/operators.hpp
@@ -1,6 +1,6 @@
-// The operators' file: what an installation switches on beside what the platform tells. INFO
-// (Boost.PropertyTree): a name and a value a line, children in braces. One table describes every entry; the
-// check, the reference page and the defaults all come from it.
+// The operators' file: what an installation enables or changes beside the platform's configuration. Its
+// format is INFO (Boost.PropertyTree): one name and value a line, groups in braces. A single table of entries
+// is the source of the check, the reference page and the defaults.
 #pragma once
 
 #include <cstddef>
@@ -14,106 +14,125 @@
 
 namespace yoketurn {
 
-struct Operators {
-  struct Logs {
-    bool json = false;
-    std::string level;      // debug, info, warning, error
-    std::size_t queue = 0;  // bytes that wait for a stalled reader
-    bool operator==(const Logs&) const = default;
+// All values of the operators' file. Each member is named after its group in the file; the entry that a field
+// comes from is given where its name differs.
+struct OperatorSettings {
+  struct LogSettings {
+    bool json = false;            // format
+    std::string level;            // debug, info, warning or error
+    std::size_t queue_bytes = 0;  // queue: log lines buffered while the reader of standard output stalls
+    bool operator==(const LogSettings&) const = default;
   } log;
-  struct Line {
-    bool on = false;
-    std::size_t memory = 0;  // bytes
-    double fine = 0;         // share of it for single events
-    int lines = 0;           // nodes, those that are gone included
-    std::string listen;      // host:port on loopback; empty: nobody is answered
-    int readers = 0;         // at once
-    double reports = 0;      // seconds between two questions for a node's load; 0: none
-    bool operator==(const Line&) const = default;
+  struct TimelineSettings {
+    bool enabled = false;          // on
+    std::size_t memory_bytes = 0;  // memory: of the whole time line
+    double event_share = 0;        // fine: share of the memory for single events; the rest holds summaries
+    int max_nodes = 0;             // lines: nodes with a time line, removed nodes included
+    std::string listen_address;    // listen: host:port on loopback; empty: not served
+    int max_readers = 0;           // readers: concurrent connections to listen_address
+    double load_report_interval =
+        0;  // reports: seconds between two load requests to a node; 0: none are sent
+    bool operator==(const TimelineSettings&) const = default;
   } timeline;
-  struct Disk {
-    std::string folder;  // empty: nothing is written
-    std::size_t size = 0, total = 0;
-    double age = 0;  // seconds after which one is removed
-    int queue = 0;   // events that wait for the disk
-    bool operator==(const Disk&) const = default;
+  struct SegmentSettings {
+    std::string folder;             // empty: no events are written to disk
+    std::size_t segment_bytes = 0;  // size: at which a segment is closed
+    std::size_t total_bytes = 0;    // total: beyond which the oldest segments are deleted
+    double max_age = 0;             // age: seconds after which a segment is deleted
+    int queue_events = 0;           // queue: events that may wait for the disk
+    bool operator==(const SegmentSettings&) const = default;
   } segments;
-  struct Leaving {
-    bool on = false;
-    double slow = 0;     // times the usual latency
-    double stall = 0;    // times the usual latency without any answer, and at least
-    double least = 0;    // seconds
-    double fails = 0;    // share of bad outcomes
-    double flaps = 0;    // changes of state in a minute
-    double reports = 0;  // seconds after which a load report is late
-    double alarms = 0;   // false alarms a node and day that may be expected
-    double fleet = 0;    // share of the nodes that makes one event of the fleet
-    int most = 0;        // open departures kept
-    bool operator==(const Leaving&) const = default;
+  // Detection of nodes that deviate from their own usual behaviour.
+  struct AnomalySettings {
+    bool enabled = false;                     // on
+    double slow_latency_ratio = 0;            // slow: latency over the usual one from which a node is slow
+    double stall_latency_ratio = 0;           // stall: time without any answer over the usual latency
+    double min_stall = 0;                     // least: seconds; shorter silences are no stall
+    double failure_share = 0;                 // fails: share of failed outcomes from which a node is failing
+    double max_state_changes_per_minute = 0;  // flaps: from which a node is flapping
+    double load_report_max_age = 0;           // reports: seconds after which a load report is late
+    double false_alarms_per_node_day = 0;     // alarms: expected false alarms a node and day
+    double fleet_share = 0;                   // fleet: share of the nodes that makes one event of the fleet
+    int max_open = 0;                         // most: open anomalies that are tracked
+    bool operator==(const AnomalySettings&) const = default;
   } departures;
 
-  struct Whole {
-    bool on = false;
-    std::string evacuate;  // a site; empty: none
-    double over = 0;       // seconds in which it is emptied, and filled again
-    double until = 0;      // Unix time from which it is filled again; 0: with no site to evacuate
-    bool operator==(const Whole&) const = default;
+  struct SiteSettings {
+    bool enabled = false;        // on
+    std::string evacuated_site;  // evacuate: site to drain; empty: none
+    double evacuation_ramp = 0;  // over: seconds in which the site's share goes to 0, and later back to 1
+    double evacuation_end = 0;   // until: Unix time from which the site is filled again; 0: no evacuation
+    bool operator==(const SiteSettings&) const = default;
   } sites;
-  struct Fleet {
-    std::string orders;  // folder; empty: no order is obeyed
-    double longest = 0;  // seconds that one may hold
-    bool alone = false;  // acts on its own doubt
-    double share = 0;
-    int intervals = 0;  // of versions, kept for readers
-    bool operator==(const Fleet&) const = default;
+  // Orders of the fleet's auditor, and what the router does without them.
+  struct FleetSettings {
+    std::string orders_folder;        // orders: empty: no orders are accepted
+    double max_order_duration = 0;    // longest: seconds for which one order may hold
+    bool act_without_orders = false;  // alone: act on the router's own staleness check
+    double step_aside_share = 0;  // share: of the routers with a long staleness that step aside by themselves
+    int max_version_intervals = 0;  // intervals: of versions, kept for readers of the time line
+    bool operator==(const FleetSettings&) const = default;
   } fleet;
 
-  std::uint64_t hash =
-      0;  // of what is given, but for addresses and paths: these differ from router to router
+  // Hash of the values given in the file, without addresses and paths: those differ from router to router.
+  std::uint64_t hash = 0;
 
-  bool operator==(const Operators&) const = default;
-  std::size_t memory() const;  // all that it asks for, in bytes
+  bool operator==(const OperatorSettings&) const = default;
+  std::size_t memory_bytes() const;  // sum of all buffers and stores that these settings ask for
 };
 
-enum class EntryType { flag, count, share, figure, duration, size, word, endpoint, path, name, moment };
+enum class EntryType {
+  flag,
+  count,
+  percentage,
+  decimal,
+  duration,
+  size,
+  choice,
+  endpoint,
+  path,
+  name,
+  timestamp
+};
 
-struct Entry {
+struct EntrySpec {
   std::string_view path;  // names from the top, set apart by dots
   EntryType type;
-  double least, most;      // of numbers, in the unit of the value; 0, 0: any
-  std::string_view words;  // of a word, set apart by spaces
-  std::string_view fallback;
-  std::string_view help;
+  double min, max;           // of numbers, in the unit of the value; 0, 0: any
+  std::string_view choices;  // of a word, set apart by spaces
+  std::string_view default_value;
+  std::string_view description;
 };
 
-std::span<const Entry> entries();
+std::span<const EntrySpec> entry_specs();
 
 // A value as it stands in a file.
-struct Given {
+struct EntryValue {
   double number = 0;
   std::string text;
 };
 
-struct Problem {
+struct FileProblem {
   int line = 0;  // 0: of the whole
   std::string path, what;
 };
-std::string to_text(const Problem& problem, std::string_view file);
+std::string format_problem(const FileProblem& problem, std::string_view file);
 
-struct BadOperators : std::runtime_error {
-  explicit BadOperators(std::vector<Problem> found);
-  std::vector<Problem> problems;
+struct InfoFileError : std::runtime_error {
+  explicit InfoFileError(std::vector<FileProblem> found);
+  std::vector<FileProblem> problems;
 };
 
 // What stands in the text, by path, checked against another table; what is left out is not there.
-std::map<std::string, Given> read_entries(std::string_view text,
-                                          std::span<const Entry> table);  // throws BadOperators
+std::map<std::string, EntryValue> parse_entries(std::string_view text,
+                                                std::span<const EntrySpec> table);  // throws InfoFileError
 
 // All of it or, with every problem there is, nothing. The memory that the router may use is in bytes; 0: not
 // known.
-Operators read_operators(std::string_view text, std::size_t router_memory = 0);  // throws BadOperators
-Operators load_operators(const std::string& path, std::size_t router_memory = 0);
-Operators default_operators();
+OperatorSettings parse_operator_settings(std::string_view text,
+                                         std::size_t router_memory = 0);  // throws InfoFileError
+OperatorSettings load_operator_settings(const std::string& path, std::size_t router_memory = 0);
+OperatorSettings default_operator_settings();
 
 std::string reference_page();  // Markdown, of all entries
 
--- a/src/router/config.cpp
+++ b/src/router/config.cpp
@@ -66,7 +66,7 @@
 }
 
 void load_operators_into(Config& config, const std::string& path) {
-  config.operators = load_operators(path, config.memory);
+  config.operators = load_operator_settings(path, config.memory);
   config.operators_path = path;
 }
 
--- a/src/router/config.hpp
+++ b/src/router/config.hpp
@@ -27,11 +27,11 @@
   ConnectionLimits bounds;
   std::vector<std::string> verticals, zones;
   std::string operators_path;  // empty: there is no operators' file
-  Operators operators = default_operators();
+  OperatorSettings operators = default_operator_settings();
 };
 
 Config read_config(std::string_view text);                          // throws InputError
 Config load_config(const std::string& path);                        // throws InputError
-void load_operators_into(Config& config, const std::string& path);  // throws BadOperators
+void load_operators_into(Config& config, const std::string& path);  // throws InfoFileError
 
 }  // namespace yoketurn
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -31,8 +31,9 @@
 std::size_t other_sockets(const Config& config) {
   const auto& timeline = config.operators.timeline;
   return kOtherSockets +
-         (timeline.on
-              ? kTimelineSockets + (timeline.listen.empty() ? 0 : static_cast<std::size_t>(timeline.readers))
+         (timeline.enabled
+              ? kTimelineSockets +
+                    (timeline.listen_address.empty() ? 0 : static_cast<std::size_t>(timeline.max_readers))
               : 0);
 }
 
@@ -40,14 +41,22 @@
   return (config.sockets - other_sockets(config)) / kNodeShare;
 }
 
-Log::Form log_form(const Operators& operators) {
-  return {operators.log.json, spdlog::level::from_str(operators.log.level), operators.log.queue};
+Log::Form log_form(const OperatorSettings& operators) {
+  return {operators.log.json, spdlog::level::from_str(operators.log.level), operators.log.queue_bytes};
 }
 
-DepartureLimits departure_limits(const Operators& operators, const Settings& settings) {
+DepartureLimits departure_limits(const OperatorSettings& operators, const Settings& settings) {
   const auto& d = operators.departures;
-  return {d.slow,    d.stall,  d.least, d.fails, d.flaps,
-          d.reports, d.alarms, d.fleet, d.most,  settings.cold_time};
+  return {d.slow_latency_ratio,
+          d.stall_latency_ratio,
+          d.min_stall,
+          d.failure_share,
+          d.max_state_changes_per_minute,
+          d.load_report_max_age,
+          d.false_alarms_per_node_day,
+          d.fleet_share,
+          d.max_open,
+          settings.cold_time};
 }
 
 // A load report's figures, whatever they are set apart by; nullopt: none that is known.
@@ -234,51 +243,52 @@
 // --- the time line
 
 // What can fail comes first: nothing has changed then.
-void Router::watch_over(const Operators& operators) {
+void Router::watch_over(const OperatorSettings& operators) {
   const auto& before = config_.operators;
-  const auto same = recorder_ && operators.timeline.memory == before.timeline.memory &&
-                    operators.timeline.fine == before.timeline.fine &&
-                    operators.timeline.lines == before.timeline.lines &&
+  const auto same = recorder_ && operators.timeline.memory_bytes == before.timeline.memory_bytes &&
+                    operators.timeline.event_share == before.timeline.event_share &&
+                    operators.timeline.max_nodes == before.timeline.max_nodes &&
                     operators.departures == before.departures;
-  const auto at = operators.timeline.on && !operators.timeline.listen.empty()
-                      ? read_endpoint(operators.timeline.listen)
+  const auto at = operators.timeline.enabled && !operators.timeline.listen_address.empty()
+                      ? read_endpoint(operators.timeline.listen_address)
                       : std::nullopt;
-  if (operators.timeline.on && !operators.timeline.listen.empty() && !at)
+  if (operators.timeline.enabled && !operators.timeline.listen_address.empty() && !at)
     throw InputError("timeline.listen can't be read");
   const auto& sites = operators.sites;
-  if (!sites.evacuate.empty() && find_index(zones_, sites.evacuate) == kNone)
-    throw InputError("sites.evacuate: there is no site " + sites.evacuate);
+  if (!sites.evacuated_site.empty() && find_index(zones_, sites.evacuated_site) == kNone)
+    throw InputError("sites.evacuate: there is no site " + sites.evacuated_site);
   std::unique_ptr<TimelineServer> server;
-  const auto moved = !server_ || operators.timeline.listen != before.timeline.listen;
+  const auto moved = !server_ || operators.timeline.listen_address != before.timeline.listen_address;
   if (at && moved)
     server = std::make_unique<TimelineServer>(
-        context_, due_, *at, operators.timeline.readers,
+        context_, due_, *at, operators.timeline.max_readers,
         [this] { return recorder_ ? &recorder_->timeline() : nullptr; }, [this] { return standing_.view(); });
   if (!at || server) server_ = std::move(server);
-  if (server_) server_->bound(operators.timeline.readers);
+  if (server_) server_->bound(operators.timeline.max_readers);
   // The end of a writer waits for its disk: it goes on where nothing of it changes.
   const auto same_segments = same && operators.segments == before.segments;
   config_.operators = operators;
   const auto began = now();
   standing_.shape(operators.fleet, server_ != nullptr);
-  queries_.sites().on(sites.on);
+  queries_.sites().on(sites.enabled);
   queries_.sites().evacuate(
-      sites.evacuate.empty()
+      sites.evacuated_site.empty()
           ? std::nullopt
-          : std::optional(Evacuation{find_index(zones_, sites.evacuate), began, sites.over,
-                                     evacuated_until_.told(WallTime{sites.until}, WallTime::now(), began),
-                                     next_tick_ <= 0}));
-  if (!operators.timeline.on) {
+          : std::optional(
+                Evacuation{find_index(zones_, sites.evacuated_site), began, sites.evacuation_ramp,
+                           evacuated_until_.told(WallTime{sites.evacuation_end}, WallTime::now(), began),
+                           next_tick_ <= 0}));
+  if (!operators.timeline.enabled) {
     queries_.witness(nullptr);
     recorder_.reset();
     segments_.reset();
     return;
   }
   if (!same) {
-    const Timeline::Budget budget{operators.timeline.memory, operators.timeline.fine,
-                                  operators.timeline.lines};
+    const Timeline::Budget budget{operators.timeline.memory_bytes, operators.timeline.event_share,
+                                  operators.timeline.max_nodes};
     recorder_ = std::make_unique<Recorder>(budget, departure_limits(operators, config_.settings),
-                                           operators.departures.on,
+                                           operators.departures.enabled,
                                            static_cast<int>(config_.verticals.size()), began, unix_at_zero());
     queries_.witness(recorder_.get());
     versions_at_ = 0;
@@ -288,8 +298,9 @@
   disk_failures_ = 0;
   if (!operators.segments.folder.empty()) {
     const auto& s = operators.segments;
-    segments_ = std::make_unique<Segments>(SegmentLimits{s.folder, s.size, s.total, s.age, s.queue},
-                                           config_.name, unix_at_zero());
+    segments_ = std::make_unique<Segments>(
+        SegmentLimits{s.folder, s.segment_bytes, s.total_bytes, s.max_age, s.queue_events}, config_.name,
+        unix_at_zero());
     recorder_->timeline().also = [this](const Event& event) { segments_->event(event); };
     recorder_->timeline().also_line = [this](const Timeline::Line& line) { segments_->line(line); };
     for (const auto& line : recorder_->timeline().lines()) segments_->line(line);
@@ -315,15 +326,15 @@
 bool Router::reload_operators() {
   if (config_.operators_path.empty()) return true;
   try {
-    const auto fresh = load_operators(config_.operators_path, config_.memory);
+    const auto fresh = load_operator_settings(config_.operators_path, config_.memory);
     watch_over(fresh);
     standing_.file(Subject::operators, fresh.hash, config_.operators_path, now());
     log_.shape(log_form(fresh));
     log_.line("operators_reloaded", "path=\"{}\"", config_.operators_path);
     return true;
-  } catch (const BadOperators& bad) {
+  } catch (const InfoFileError& bad) {
     for (const auto& problem : bad.problems)
-      log_.line("operators_kept", "why=\"{}\"", to_text(problem, config_.operators_path));
+      log_.line("operators_kept", "why=\"{}\"", format_problem(problem, config_.operators_path));
   } catch (const std::exception& error) {
     log_.line("operators_kept", "why=\"{}\"", error.what());
   }
@@ -362,7 +373,7 @@
               recorder_->name_of(news.node), why_name(What::departed, static_cast<std::uint8_t>(news.kind)),
               vertical, news.began + unix_at_zero_, news.evidence, news.usual);
   }
-  if (const auto every = config_.operators.timeline.reports; every > 0 && at >= reports_at_) {
+  if (const auto every = config_.operators.timeline.load_report_interval; every > 0 && at >= reports_at_) {
     reports_at_ = at + every;
     pool_.ask_loads();
   }
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -111,7 +111,7 @@
   int number_of(const std::string& node);  // kNone: there is no room for it
   void let_go();
 
-  void watch_over(const Operators& operators);  // throws if it can't; then all is as it was
+  void watch_over(const OperatorSettings& operators);  // throws if it can't; then all is as it was
   void begin_lines(double at);
   void observe(double at);
   void tell_sites();
--- a/src/router/standing.cpp
+++ b/src/router/standing.cpp
@@ -52,12 +52,12 @@
       versions_({}, static_cast<int>(town_.verticals.size()), now),
       service_({}, town_.router, seed) {}
 
-void Standing::shape(const Operators::Fleet& fleet, bool readers) {
-  const auto intervals = readers ? static_cast<std::size_t>(fleet.intervals) : kFewIntervals;
+void Standing::shape(const OperatorSettings::FleetSettings& fleet, bool readers) {
+  const auto intervals = readers ? static_cast<std::size_t>(fleet.max_version_intervals) : kFewIntervals;
   versions_.bound({intervals, intervals * kNodesAnInterval});
-  service_.limit({fleet.alone, fleet.share, fleet.longest});
-  if (folder_ != fleet.orders) seen_.clear();
-  folder_ = fleet.orders;
+  service_.limit({fleet.act_without_orders, fleet.step_aside_share, fleet.max_order_duration});
+  if (folder_ != fleet.orders_folder) seen_.clear();
+  folder_ = fleet.orders_folder;
 }
 
 void Standing::file(Subject subject, std::uint64_t hash, std::string_view source, double now) {
@@ -141,7 +141,7 @@
   seen_ = shape;
   try {
     if (static_cast<std::size_t>(status.st_size) > kLargestOrder)
-      throw BadOperators({{0, "", "larger than 64 KiB"}});
+      throw InfoFileError({{0, "", "larger than 64 KiB"}});
     std::ifstream file(path);
     std::stringstream content;
     content << file.rdbuf();
--- a/src/router/standing.hpp
+++ b/src/router/standing.hpp
@@ -38,7 +38,7 @@
 
   Standing(Town town, std::uint64_t seed, double now, double unix_at_zero, Log& log, Hands hands);
 
-  void shape(const Operators::Fleet& fleet, bool readers);
+  void shape(const OperatorSettings::FleetSettings& fleet, bool readers);
   void file(Subject subject, std::uint64_t hash, std::string_view source, double now);
   void listed(const MemberList& whole, bool full, const std::string& source, double now);
   void member(int node, const Member& member) { versions_.listed(node, member.id, member.up); }
--- a/src/versions/orders.cpp
+++ b/src/versions/orders.cpp
@@ -13,14 +13,14 @@
 
 using enum EntryType;
 constexpr double kMostCount = 1e15;  // that a double holds exactly
-constexpr Entry kOrder[] = {
+constexpr EntrySpec kOrder[] = {
     {"order.term", count, 1, kMostCount, "", "1", "The auditor's term: a lower one than before is refused."},
     {"order.number", count, 1, kMostCount, "", "1", "Counted up within the term."},
     {"order.router", name, 0, 0, "", "off", "The router it is for."},
-    {"order.step", word, 0, 0, "ask_again follow read_again step_aside shut_out back", "ask_again",
+    {"order.step", choice, 0, 0, "ask_again follow read_again step_aside shut_out back", "ask_again",
      "What is to be done."},
     {"order.why", name, 0, 0, "", "off", "What it hangs on, in words."},
-    {"order.until", moment, 0, 0, "", "off", "When it lapses by itself."},
+    {"order.until", timestamp, 0, 0, "", "off", "When it lapses by itself."},
     {"order.agent", endpoint, 0, 0, "", "off", "follow: where discovery is to be followed."},
 };
 
@@ -45,11 +45,11 @@
 }  // namespace
 
 Order read_order(std::string_view text) {
-  const auto given = read_entries(text, kOrder);
-  std::vector<Problem> missing;
+  const auto given = parse_entries(text, kOrder);
+  std::vector<FileProblem> missing;
   for (const auto* path : {"order.term", "order.number", "order.router", "order.step", "order.until"})
     if (!given.contains(path)) missing.push_back({0, path, "is missing"});
-  if (!missing.empty()) throw BadOperators(missing);
+  if (!missing.empty()) throw InfoFileError(missing);
   Order order;
   order.term = static_cast<long long>(given.at("order.term").number);
   order.number = static_cast<long long>(given.at("order.number").number);
@@ -61,7 +61,7 @@
   if (const auto at = given.find("order.why"); at != given.end()) order.why = at->second.text;
   if (const auto at = given.find("order.agent"); at != given.end()) order.agent = at->second.text;
   if (order.step == Step::follow && order.agent.empty())
-    throw BadOperators({{0, "order.agent", "is missing: where is discovery to be followed?"}});
+    throw InfoFileError({{0, "order.agent", "is missing: where is discovery to be followed?"}});
   return order;
 }
 
--- a/src/versions/orders.hpp
+++ b/src/versions/orders.hpp
@@ -9,7 +9,7 @@
 
 namespace yoketurn {
 
-Order read_order(std::string_view text);  // throws BadOperators, with every problem there is
+Order read_order(std::string_view text);  // throws InfoFileError, with every problem there is
 std::string to_info(const Order& order);  // what read_order reads; `until` is told to the second, downwards
 
 }  // namespace yoketurn
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -8,20 +8,20 @@
 TEST_SUITE_BEGIN("operators");
 
 TEST_CASE("what is not named has the table's value") {
-  const auto o = read_operators("");
-  CHECK(o == default_operators());
-  CHECK(!o.timeline.on);
-  CHECK(o.timeline.memory == 4 << 20);
-  CHECK(o.segments.age == 7 * 86400);
+  const auto o = parse_operator_settings("");
+  CHECK(o == default_operator_settings());
+  CHECK(!o.timeline.enabled);
+  CHECK(o.timeline.memory_bytes == 4 << 20);
+  CHECK(o.segments.max_age == 7 * 86400);
 }
 
 TEST_CASE("every default is one that its entry takes") {
-  for (const auto& entry : entries()) {
+  for (const auto& entry : entry_specs()) {
     CAPTURE(entry.path);
     const auto dot = entry.path.find('.');
     const auto text = fmt::format("timeline {{ on yes }}\n{} {{ {} {} }}", entry.path.substr(0, dot),
-                                  entry.path.substr(dot + 1), entry.fallback);
-    if (!entry.path.starts_with("timeline.")) CHECK_NOTHROW(read_operators(text));
+                                  entry.path.substr(dot + 1), entry.default_value);
+    if (!entry.path.starts_with("timeline.")) CHECK_NOTHROW(parse_operator_settings(text));
   }
 }
 
@@ -34,7 +34,7 @@
                       {"3h", 10800}, {"2d", 172800},  {"1.5s", 1.5}};
   for (const auto& row : rows) {
     CAPTURE(row.text);
-    CHECK(read_operators(fmt::format("segments {{ age {} }}", row.text)).segments.age ==
+    CHECK(parse_operator_settings(fmt::format("segments {{ age {} }}", row.text)).segments.max_age ==
           doctest::Approx(row.age));
   }
 }
@@ -76,9 +76,9 @@
     CAPTURE(row.text);
     std::vector<std::string> told;
     try {
-      read_operators(row.text);
-    } catch (const BadOperators& bad) {
-      for (const auto& problem : bad.problems) told.push_back(to_text(problem, "f"));
+      parse_operator_settings(row.text);
+    } catch (const InfoFileError& bad) {
+      for (const auto& problem : bad.problems) told.push_back(format_problem(problem, "f"));
     }
     CAPTURE(fmt::format("{}", fmt::join(told, " | ")));
     REQUIRE(told.size() == row.told.size());
@@ -88,17 +88,18 @@
 
 TEST_CASE("a file that asks for more memory than there is") {
   const auto text = "timeline { on yes\n memory 20MiB }";
-  CHECK_NOTHROW(read_operators(text, 64 << 20));
-  CHECK_THROWS_WITH_AS(read_operators(text, 32 << 20), doctest::Contains("more than half of the 32MiB"),
-                       BadOperators);
-  CHECK_THROWS_AS(
-      read_operators("timeline { on yes\n memory 8MiB }\nsegments { folder /x\n queue 1000000 }", 64 << 20),
-      BadOperators);
+  CHECK_NOTHROW(parse_operator_settings(text, 64 << 20));
+  CHECK_THROWS_WITH_AS(parse_operator_settings(text, 32 << 20),
+                       doctest::Contains("more than half of the 32MiB"), InfoFileError);
+  CHECK_THROWS_AS(parse_operator_settings(
+                      "timeline { on yes\n memory 8MiB }\nsegments { folder /x\n queue 1000000 }", 64 << 20),
+                  InfoFileError);
 }
 
 TEST_CASE("the reference page names every entry") {
   const auto page = reference_page();
-  for (const auto& entry : entries()) CHECK(page.find(fmt::format("`{}`", entry.path)) != std::string::npos);
+  for (const auto& entry : entry_specs())
+    CHECK(page.find(fmt::format("`{}`", entry.path)) != std::string::npos);
 }
 
 TEST_SUITE_END();
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -342,7 +342,7 @@
     try {
       read_order(text);
       FAIL_CHECK("it was taken");
-    } catch (const BadOperators& bad) {
+    } catch (const InfoFileError& bad) {
       CHECK(std::string(bad.what()).find(expected) != std::string::npos);
     }
   }
