--- a/rig/processes.cpp
+++ b/rig/processes.cpp
@@ -11,7 +11,7 @@
 #include <boost/process/extend.hpp>
 #include <cstdio>
 
-#include "files/write_whole.hpp"
+#include "files/write_fully.hpp"
 
 namespace yoketurn::rig {
 
@@ -58,7 +58,7 @@
   const auto path = clock_file(which);
   const auto file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0644);
   const auto* bytes = reinterpret_cast<const char*>(&seconds_ahead);
-  const auto written = file >= 0 && write_whole(file, bytes, sizeof seconds_ahead);
+  const auto written = file >= 0 && write_fully(file, bytes, sizeof seconds_ahead);
   if (file >= 0) ::close(file);
   if (!written) throw std::runtime_error(path + " can't be written");
 }
--- a/src/files/write_whole.hpp
+++ b/src/files/write_fully.hpp
@@ -1,4 +1,4 @@
-// Writing to files: short and interrupted writes go on where they were.
+// Complete writes to a file descriptor: short and interrupted writes are continued.
 #pragma once
 
 #include <unistd.h>
@@ -8,8 +8,8 @@
 
 namespace yoketurn {
 
-// Writes all of these bytes. False: the disk took no more, errno says why, and a part may stand in the file.
-inline bool write_whole(int descriptor, const char* bytes, std::size_t size) {
+// Writes all `size` bytes. On failure returns false with errno set; a part of the bytes may have been written.
+inline bool write_fully(int descriptor, const char* bytes, std::size_t size) {
   while (size > 0) {
     const auto count = ::write(descriptor, bytes, size);
     if (count < 0 && errno == EINTR) continue;
--- a/src/fleet/audit.cpp
+++ b/src/fleet/audit.cpp
@@ -14,7 +14,7 @@
 
 #include "audit/overseer.hpp"
 #include "audit/stragglers.hpp"
-#include "files/write_whole.hpp"
+#include "files/write_fully.hpp"
 #include "fleet/commands.hpp"
 #include "fleet/follow.hpp"
 #include "fleet/roll.hpp"
@@ -41,7 +41,7 @@
   const auto text = to_info(order);
   const auto file = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   if (file < 0) throw std::runtime_error(fresh + " can't be written");
-  const auto written = write_whole(file, text.data(), text.size());
+  const auto written = write_fully(file, text.data(), text.size());
   const auto synced = ::fsync(file);
   ::close(file);
   if (!written || synced != 0) throw std::runtime_error(fresh + " can't be written whole");
--- a/src/timeline/segments.cpp
+++ b/src/timeline/segments.cpp
@@ -12,7 +12,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "files/write_whole.hpp"
+#include "files/write_fully.hpp"
 
 namespace yoketurn {
 
@@ -156,7 +156,7 @@
 
 // False: the disk took no more, and the file is closed; the torn tail is cut by whoever reads it.
 bool Segments::write_all(const char* bytes, std::size_t size) {
-  if (!write_whole(file_, bytes, size)) {
+  if (!write_fully(file_, bytes, size)) {
     fail(errno);
     return false;
   }
