--- a/src/settings/consistency.hpp
+++ b/src/settings/consistency.hpp
@@ -1,12 +1,13 @@
-// Whether the settings of a configuration fit together: those of one shape of deployment, not parts of two.
+// Checks that the settings of a configuration are consistent with each other, so that a mix of two
+// deployments' settings is refused.
 #pragma once
 
 #include "settings/settings.hpp"
 
 namespace yoketurn {
 
-// Throws InputError, naming the key, what it says and what was expected. Keys that are absent have their
-// defaults and fit anything.
+// Throws InputError with the key, its value and what was expected. A missing key has its default, which is
+// consistent with everything.
 void check_consistency(const SettingsMap& setup);
 
 }  // namespace yoketurn
--- a/src/settings/json.cpp
+++ b/src/settings/json.cpp
@@ -1,1 +1,1 @@
-#include <boost/json/src.hpp>  // the library's own code, compiled once here
+#include <boost/json/src.hpp>  // the library's implementation, compiled once here
--- a/src/settings/json_fields.hpp
+++ b/src/settings/json_fields.hpp
@@ -1,4 +1,5 @@
-// Fields of JSON objects that must be there; what is not, or makes no sense, is told with its name.
+// Required fields of JSON objects. All functions throw InputError, which names the field that is missing or
+// invalid.
 #pragma once
 
 #include <boost/json.hpp>
@@ -15,6 +16,7 @@
   return *value;
 }
 
+// A string that is not empty.
 inline std::string string_field(const boost::json::object& object, std::string_view name) {
   const auto& value = required_field(object, name);
   const auto* text = value.if_string();
@@ -22,12 +24,13 @@
   return std::string(*text);
 }
 
+// A number from `min` to `max`.
 template <class Number>
-Number number_field(const boost::json::object& object, std::string_view name, Number least, Number most) {
+Number number_field(const boost::json::object& object, std::string_view name, Number min, Number max) {
   const auto& value = required_field(object, name);
   boost::system::error_code error;
   const auto number = value.to_number<Number>(error);
-  if (error || !(number >= least && number <= most)) throw_invalid_value(name, boost::json::serialize(value));
+  if (error || !(number >= min && number <= max)) throw_invalid_value(name, boost::json::serialize(value));
   return number;
 }
 
@@ -37,11 +40,11 @@
   return value.get_object();
 }
 
-// A whole text as one object.
+// Parses a text that is one JSON object; `what` is its name in the error.
 inline boost::json::object parse_json_object(std::string_view text, std::string_view what) {
   boost::system::error_code error;
   auto value = boost::json::parse(boost::json::string_view(text.data(), text.size()), error);
-  if (error || !value.is_object()) throw InputError(std::string(what) + " is no JSON object");
+  if (error || !value.is_object()) throw InputError(std::string(what) + " is not a JSON object");
   return std::move(value.get_object());
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -14,29 +14,32 @@
   return value;
 }
 
-void throw_invalid_value(std::string_view what, std::string_view word) {
-  throw InputError(std::string(what) + ": '" + std::string(word) + "' makes no sense");
+void throw_invalid_value(std::string_view name, std::string_view value) {
+  throw InputError(std::string(name) + ": invalid value '" + std::string(value) + "'");
 }
 
 namespace {
 
-// Reads required and optional figures of the settings, by path.
-class Reader {
+constexpr double kMaxNames = 1e4;  // of one list
+
+// Reads typed values of settings by path. All functions throw InputError on a missing or invalid value.
+class SettingsReader {
  public:
-  explicit Reader(const SettingsMap& setup) : setup_(setup) {}
+  explicit SettingsReader(const SettingsMap& setup) : setup_(setup) {}
 
-  double number(const std::string& path, double least) const {
+  double number(const std::string& path, double min) const {
     const auto& text = required_setting(setup_, path);
     const auto value = parse_number(text);
-    if (!value || *value < least) throw_invalid_value(path, text);
+    if (!value || *value < min) throw_invalid_value(path, text);
     return *value;
   }
-  double optional(const std::string& path, double absent) const {
-    return setup_.contains(path) ? number(path, 0) : absent;
+  double optional_number(const std::string& path, double default_value) const {
+    return setup_.contains(path) ? number(path, 0) : default_value;
   }
+  // A time that is written in microseconds.
   double seconds(const std::string& path) const { return number(path, 0) / 1e6; }
-  int count(const std::string& path, int least) const {
-    const auto value = number(path, least);
+  int count(const std::string& path, int min) const {
+    const auto value = number(path, min);
     if (value > kMaxIndex) throw_invalid_value(path, required_setting(setup_, path));
     return static_cast<int>(value);
   }
@@ -46,6 +49,7 @@
     if (text == "false" || text == "0") return false;
     throw_invalid_value(path, text);
   }
+  // A list of exactly `size` numbers.
   std::vector<double> numbers(const std::string& path, std::size_t size) const {
     std::vector<double> values;
     for (const auto& text : split(required_setting(setup_, path), ',')) {
@@ -61,33 +65,35 @@
   const SettingsMap& setup_;
 };
 
-Effect effect(const std::string& text) {
+Effect parse_effect(const std::string& text) {
   if (text == "safe") return Effect::repeatable;
   if (text == "keyed") return Effect::deduplicated;
   if (text == "unsafe") return Effect::side_effecting;
   throw_invalid_value("semantics", text);
 }
 
-bool plain(const boost::json::value& value) {
+bool is_scalar(const boost::json::value& value) {
   return !value.is_array() && !value.is_object();
 }
 
-std::string text_of(const boost::json::value& value) {
+// Strings without quotes, null as an empty text, everything else as in JSON.
+std::string scalar_text(const boost::json::value& value) {
   if (const auto* text = value.if_string()) return std::string(*text);
   if (value.is_null()) return {};
   return boost::json::serialize(value);
 }
 
+// Adds a value and what it contains to `result`, by path.
 void flatten(const std::string& path, const boost::json::value& value, SettingsMap& result) {
   if (const auto* object = value.if_object()) {
     for (const auto& [name, inner] : *object)
       flatten(path.empty() ? std::string(name) : path + "." + std::string(name), inner, result);
   } else if (const auto* list = value.if_array(); list != nullptr) {
-    if (std::all_of(list->begin(), list->end(), plain)) {
+    if (std::all_of(list->begin(), list->end(), is_scalar)) {
       std::string joined;
       for (const auto& item : *list) {
         if (&item != list->begin()) joined += ',';
-        joined += text_of(item);
+        joined += scalar_text(item);
       }
       result[path] = joined;
       if (!list->empty()) return;
@@ -96,7 +102,7 @@
     for (std::size_t i = 0; i < list->size(); ++i)
       flatten(path + "." + std::to_string(i), (*list)[i], result);
   } else {
-    result[path] = text_of(value);
+    result[path] = scalar_text(value);
   }
 }
 
@@ -113,10 +119,10 @@
   return result;
 }
 
-std::vector<std::string> split(std::string_view text, char by) {
+std::vector<std::string> split(std::string_view text, char separator) {
   std::vector<std::string> result;
   while (!text.empty()) {
-    const auto end = std::min(text.find(by), text.size());
+    const auto end = std::min(text.find(separator), text.size());
     result.emplace_back(text.substr(0, end));
     text.remove_prefix(std::min(end + 1, text.size()));
   }
@@ -134,15 +140,15 @@
   const auto prefix = std::string(list);
   const auto count = setup.find(prefix + ".count");
   if (count == setup.end()) return result;
-  const auto many = parse_number(count->second);
-  if (!many || *many < 0 || *many > 1e4) throw_invalid_value(count->first, count->second);
-  for (int i = 0; i < static_cast<int>(*many); ++i)
+  const auto size = parse_number(count->second);
+  if (!size || *size < 0 || *size > kMaxNames) throw_invalid_value(count->first, count->second);
+  for (int i = 0; i < static_cast<int>(*size); ++i)
     result.push_back(required_setting(setup, prefix + "." + std::to_string(i) + ".name"));
   return result;
 }
 
 Settings read_settings(const SettingsMap& setup) {
-  const Reader read(setup);
+  const SettingsReader read(setup);
   Settings s;
   const auto verticals = read_names(setup, "classes");
   if (verticals.empty()) throw InputError("setting classes.count is missing or 0");
@@ -155,10 +161,10 @@
     const auto path = "classes." + std::to_string(i) + ".";
     Vertical v;
     v.slo = read.seconds(path + "aim_us");
-    v.slo_stretch = read.optional(path + "aim_stretch", 0);
+    v.slo_stretch = read.optional_number(path + "aim_stretch", 0);
     v.utility = read.number(path + "credit", 0);
     v.late_utility = read.number(path + "late_worth", 0);
-    v.effect = effect(required_setting(setup, path + "semantics"));
+    v.effect = parse_effect(required_setting(setup, path + "semantics"));
     if (v.effect == Effect::deduplicated) v.window = read.seconds(path + "window_us");
     v.least = least[i];
     v.whole = whole[i];
@@ -180,7 +186,7 @@
   s.may_tell = setup.contains("bounds.peer_messages") && read.flag("bounds.peer_messages");
   s.must_ask_list = required_setting(setup, "discovery") == "ask";
   s.max_stay_away = read.flag("bounds.retry_after") ? read.seconds("bounds.max_retry_after_us") : 0;
-  s.over_share = read.optional("over_share_worth", 1);
+  s.over_share = read.optional_number("over_share_worth", 1);
   s.utility_by_work = required_setting(setup, "worth_by") == "work";
   s.parts_a_call = read.count("domain.parts_a_call", 1);
   s.cells = read.count("domain.places", 1);
@@ -189,9 +195,9 @@
   s.cold_time = read.seconds("contract.cold_us");
   s.fall_multiple = read.number("contract.fall_multiple", 0);
   s.fall_time = read.seconds("contract.overload_for_us");
-  s.extra_span = read.optional("contract.ratio_span_us", 0) / 1e6;
-  s.extra_free = read.optional("contract.min_extra", 0);
-  s.extra_share = read.optional("contract.budget_share", 0);
+  s.extra_span = read.optional_number("contract.ratio_span_us", 0) / 1e6;
+  s.extra_free = read.optional_number("contract.min_extra", 0);
+  s.extra_share = read.optional_number("contract.budget_share", 0);
   return s;
 }
 
@@ -202,19 +208,19 @@
 }
 
 ConnectionLimits read_connection_limits(const SettingsMap& setup) {
-  const Reader read(setup);
-  ConnectionLimits b;
-  b.shard_count = read.count("domain.slices", 1);
-  b.max_in_progress = read.count("bounds.max_open", 1);
-  b.max_parts_per_connection = read.count("bounds.streams_per_conn", 1);
-  b.max_parts_per_call = read.count("domain.parts_a_call", 1);
-  b.connect_timeout = read.seconds("bounds.connect_timeout_us");
-  b.idle_timeout = read.seconds("bounds.conn_idle_us");
+  const SettingsReader read(setup);
+  ConnectionLimits limits;
+  limits.shard_count = read.count("domain.slices", 1);
+  limits.max_in_progress = read.count("bounds.max_open", 1);
+  limits.max_parts_per_connection = read.count("bounds.streams_per_conn", 1);
+  limits.max_parts_per_call = read.count("domain.parts_a_call", 1);
+  limits.connect_timeout = read.seconds("bounds.connect_timeout_us");
+  limits.idle_timeout = read.seconds("bounds.conn_idle_us");
   const auto verticals = read_names(setup, "classes").size();
   for (std::size_t i = 0; i < verticals; ++i)
-    b.max_client_wait =
-        std::max(b.max_client_wait, read.seconds("classes." + std::to_string(i) + ".deadline_us"));
-  return b;
+    limits.max_client_wait =
+        std::max(limits.max_client_wait, read.seconds("classes." + std::to_string(i) + ".deadline_us"));
+  return limits;
 }
 
 NameIndex index_names(const std::vector<std::string>& names) {
--- a/src/wire/host.hpp
+++ b/src/wire/host.hpp
@@ -1,4 +1,5 @@
-// Hosts many instances on one text stream: batches in, one reply per batch out.
+// Runs many router instances in one process for a simulator: reads batches of messages from a text stream and
+// writes one reply per batch.
 #pragma once
 
 #include <array>
@@ -12,23 +13,26 @@
 
 namespace yoketurn::wire {
 
-class Host {
+class InstanceHost {
  public:
+  // Reads until the end of `in`. A malformed line is reported to `log` with its number and skipped.
   void run(std::istream& in, std::ostream& out, std::ostream& log);
 
  private:
-  void event(std::string_view line);
-  void open(Fields& fields);
-  Instance* find(std::string_view name);
-  void fault(const std::string& name, const std::string& why);
+  void handle_line(std::string_view line);
+  void open_instance(FieldReader& fields);
+  // The instance, which then takes part in this batch's reply; nullptr if there is none of this name.
+  RouterInstance* activate(std::string_view name);
+  // Reports an instance that has thrown and removes it; the others go on.
+  void remove_failed(const std::string& name, const std::string& why);
 
-  static constexpr std::size_t kLists = 16;  // the wire's own range of list numbers
-  std::array<std::vector<Entry>, kLists> lists_;
-  std::vector<Entry>* filling_ = nullptr;
-  std::size_t missing_ = 0;
-  std::map<std::string, std::unique_ptr<Instance>, std::less<>> instances_;
-  std::vector<std::string> active_;  // instances with an event in this batch, in order
-  double now_ = 0;
+  static constexpr std::size_t kMaxNodeLists = 16;  // the protocol's range of list numbers
+  std::array<std::vector<NodeEntry>, kMaxNodeLists> node_lists_;
+  std::vector<NodeEntry>* incomplete_list_ = nullptr;  // the list that the next "node" lines belong to
+  std::size_t missing_entries_ = 0;                    // of incomplete_list_
+  std::map<std::string, std::unique_ptr<RouterInstance>, std::less<>> instances_;
+  std::vector<std::string> active_;  // instances with a message in this batch, in order of the first
+  double now_ = 0;                   // time of the batch, in seconds
   std::string reply_;
 };
 
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -13,59 +13,69 @@
   line += text;
 }
 
-constexpr std::size_t kWordBytes = 4;
-constexpr std::size_t kMostWords = 64;  // a message holds 256 bytes
+// A peer report is a node's fingerprint (3 bytes) and a latency code (1 byte).
+constexpr std::size_t kReportBytes = 4;
+constexpr std::size_t kMaxReportsPerMessage = 64;  // the protocol allows 256 bytes a message
 
-std::uint32_t mark(long long id) {
+// Bits of a request's field "marks".
+constexpr long long kWorkHintMark = 1, kClientRetryMark = 2;
+
+// Tolerance in seconds for comparing times that were rounded to microseconds on the wire.
+constexpr double kTimerTolerance = 1e-6;
+
+// 24-bit hash of a node's id, which is the same at all routers.
+std::uint32_t node_fingerprint(long long id) {
   return static_cast<std::uint32_t>(static_cast<std::uint64_t>(id) * 0x9E3779B97F4A7C15u >> 40);
 }
 
-int step_of(double took) {
-  return took <= 0 ? 0 : std::clamp(static_cast<int>(std::lround(16 * std::log2(took / 1e-3))) + 1, 1, 255);
+// Latency on a logarithmic scale: 16 steps a doubling, 1 stands for 1 ms or less, 0 for no latency.
+int encode_latency(double seconds) {
+  return seconds <= 0 ? 0
+                      : std::clamp(static_cast<int>(std::lround(16 * std::log2(seconds / 1e-3))) + 1, 1, 255);
 }
 
-double time_of(int step) {
-  return step == 0 ? 0 : 1e-3 * std::exp2((step - 1) / 16.0);
+// Seconds.
+double decode_latency(int code) {
+  return code == 0 ? 0 : 1e-3 * std::exp2((code - 1) / 16.0);
 }
 
 }  // namespace
 
-Instance::Instance(std::string name, std::uint64_t seed, const SettingsMap& setup, double now)
+RouterInstance::RouterInstance(std::string name, std::uint64_t seed, const SettingsMap& setup, double now)
     : name_(std::move(name)),
-      queries_(read_settings(setup), seed, now, due_, *this),
+      queries_(read_settings(setup), seed, now, timers_, *this),
       verticals_(index_names(read_names(setup, "classes"))),
       customers_(index_names(read_names(setup, "customers"))),
       zones_(index_names(split(required_setting(setup, "zones"), ','))) {}
 
-template <class... Parts>
-void Instance::say(const char* verb, Parts... parts) {
-  said_ += verb;
-  said_ += ' ';
-  said_ += name_;
-  ((said_ += ' ', append(said_, parts)), ...);
-  said_ += '\n';
+template <class... FieldValues>
+void RouterInstance::write_message(const char* verb, FieldValues... values) {
+  output_ += verb;
+  output_ += ' ';
+  output_ += name_;
+  ((output_ += ' ', append(output_, values)), ...);
+  output_ += '\n';
 }
 
-int Instance::node(long long id) {
-  const auto [at, fresh] = nodes_.try_emplace(id, static_cast<int>(node_ids_.size()));
-  if (!fresh) return at->second;
+int RouterInstance::node_index(long long id) {
+  const auto [at, is_new] = node_indices_.try_emplace(id, static_cast<int>(node_ids_.size()));
+  if (!is_new) return at->second;
   node_ids_.push_back(id);
-  marks_.emplace(mark(id), at->second);
+  nodes_by_fingerprint_.emplace(node_fingerprint(id), at->second);
   return at->second;
 }
 
-void Instance::on_list(std::string_view kind, const std::vector<Entry>& entries, double now) {
+void RouterInstance::on_node_list(std::string_view kind, const std::vector<NodeEntry>& entries, double now) {
   if (kind == "lost") return queries_.list_failed(now);
-  if (kind != "incr" && kind != "total" && kind != "warm_copy")
-    throw InputError("kind: '" + std::string(kind) + "' makes no sense");
+  if (kind != "incr" && kind != "total" && kind != "warm_copy") throw_invalid_value("kind", kind);
   std::vector<yoketurn::Host> hosts;
   for (const auto& entry : entries)
-    hosts.push_back(
-        {node(entry.node), find_index(zones_, entry.zone), entry.cell, entry.status == 'U', entry.born});
+    hosts.push_back({node_index(entry.node), find_index(zones_, entry.zone), entry.cell, entry.status == 'U',
+                     entry.started_at});
   queries_.list(hosts, kind != "incr", now, kind != "warm_copy");
 }
 
-void Instance::on_demand(Fields& fields, double now) {
+void RouterInstance::on_request(FieldReader& fields, double now) {
   const auto id = fields.integer("xid");
   const auto vertical = find_index(verticals_, fields.word("service"));
   if (vertical == kNone) throw InputError("service: no such vertical");
@@ -73,122 +83,123 @@
   fields.word("object");
   const auto expires = fields.seconds("not_after_us", now);
   const auto work = fields.seconds("effort_us", 0);
-  const auto ask = fields.integer("ask_no");
+  const auto query = fields.integer("ask_no");
   const auto shard = fields.index("range_no");
-  const auto measure = fields.number("measure", 0);
+  const auto weight = fields.number("measure", 0);
   const auto marks = fields.integer("marks");
-  const auto hint = (marks & 1) != 0 && work > 0 ? work : 0;
+  const auto hint = (marks & kWorkHintMark) != 0 && work > 0 ? work : 0;
   if (shard >= 0) {
-    const auto leaf = queries_.take_part(ask, {shard, measure, hint, 1, false, {}}, now);
+    const auto leaf = queries_.take_part(query, {shard, weight, hint, 1, false, {}}, now);
     if (leaf == kNone) return;
-    leaves_[id] = {ask, leaf};
-    ids_[ask].leaves.push_back(id);
+    leaf_of_part_id_[id] = {query, leaf};
+    ids_of_query_[query].part_ids.push_back(id);
     return;
   }
-  if (queries_.holds(ask)) throw InputError("ask_no: that query is held already");
+  if (queries_.holds(query)) throw InputError("ask_no: a query with this number is still in progress");
   Query q;
   q.vertical = vertical;
   q.customer = customer;
   q.expires = expires;
   q.work = hint;
-  q.client_retry = (marks & 2) != 0;
-  asks_[id] = ask;
-  ids_[ask].query = id;
-  queries_.take(ask, std::move(q), now);
+  q.client_retry = (marks & kClientRetryMark) != 0;
+  query_of_request_id_[id] = query;
+  ids_of_query_[query].request_id = id;
+  queries_.take(query, std::move(q), now);
 }
 
-void Instance::on_response(Fields& fields, double now) {
+void RouterInstance::on_response(FieldReader& fields, double now) {
   const auto id = fields.integer("xid");
-  const auto number = fields.integer("n");
+  const auto call = fields.integer("n");
   fields.integer("node");
-  const auto verdict = outcome(fields.word("verdict"));
+  const auto verdict = parse_outcome(fields.word("verdict"));
   fields.integer("time_taken_us");
   fields.word("final");
-  const auto at = leaves_.find(id);
-  if (at == leaves_.end() || number < 0 || number > std::numeric_limits<int>::max()) return;
-  queries_.outcome(at->second.first, at->second.second, static_cast<int>(number), verdict, 0, now);
+  const auto at = leaf_of_part_id_.find(id);
+  if (at == leaf_of_part_id_.end() || call < 0 || call > std::numeric_limits<int>::max()) return;
+  queries_.outcome(at->second.first, at->second.second, static_cast<int>(call), verdict, 0, now);
 }
 
-// Words for the other routers: three bytes that stand for the node, whose id is the same at all routers, and
-// one for the latency on a scale of sixteenths of a doubling from 1 ms.
-void Instance::tell(const std::vector<Word>& words) {
-  for (std::size_t from = 0; from < words.size(); from += kMostWords) {
+// Sends reports to all other routers (address -1).
+void RouterInstance::tell(const std::vector<Word>& words) {
+  for (std::size_t from = 0; from < words.size(); from += kMaxReportsPerMessage) {
     std::string raw;
-    for (auto i = from; i < std::min(words.size(), from + kMostWords); ++i) {
-      const auto of_node = mark(node_ids_[static_cast<std::size_t>(words[i].node)]);
-      for (const auto shift : {16, 8, 0}) raw += static_cast<char>(of_node >> shift & 0xff);
-      raw += static_cast<char>(step_of(words[i].took));
+    for (auto i = from; i < std::min(words.size(), from + kMaxReportsPerMessage); ++i) {
+      const auto fingerprint = node_fingerprint(node_ids_[static_cast<std::size_t>(words[i].node)]);
+      for (const auto shift : {16, 8, 0}) raw += static_cast<char>(fingerprint >> shift & 0xff);
+      raw += static_cast<char>(encode_latency(words[i].took));
     }
-    say("announce", -1LL, encode(raw).c_str());
+    write_message("announce", -1LL, encode_base64(raw).c_str());
   }
 }
 
-void Instance::on_message(Fields& fields, double now) {
+void RouterInstance::on_peer_message(FieldReader& fields, double now) {
   fields.integer("from");
-  const auto raw = decode(fields.word("raw"));
-  if (!raw || raw->size() % kWordBytes != 0) throw InputError("raw: no words of a router");
-  for (std::size_t i = 0; i < raw->size(); i += kWordBytes) {
-    std::uint32_t of_node = 0;
-    for (std::size_t j = 0; j + 1 < kWordBytes; ++j)
-      of_node = of_node << 8 | static_cast<unsigned char>((*raw)[i + j]);
-    const auto at = marks_.find(of_node);
-    if (at != marks_.end())
-      queries_.hear({at->second, time_of(static_cast<unsigned char>((*raw)[i + kWordBytes - 1]))}, now);
+  const auto raw = decode_base64(fields.word("raw"));
+  if (!raw || raw->size() % kReportBytes != 0) throw InputError("raw: not a list of peer reports");
+  for (std::size_t i = 0; i < raw->size(); i += kReportBytes) {
+    std::uint32_t fingerprint = 0;
+    for (std::size_t j = 0; j + 1 < kReportBytes; ++j)
+      fingerprint = fingerprint << 8 | static_cast<unsigned char>((*raw)[i + j]);
+    const auto at = nodes_by_fingerprint_.find(fingerprint);
+    if (at != nodes_by_fingerprint_.end())
+      queries_.hear({at->second, decode_latency(static_cast<unsigned char>((*raw)[i + kReportBytes - 1]))},
+                    now);
   }
 }
 
-void Instance::on_gone(Fields& fields) {
-  const auto at = asks_.find(fields.integer("xid"));
-  if (at != asks_.end()) queries_.gone(at->second);
+void RouterInstance::on_client_gone(FieldReader& fields) {
+  const auto at = query_of_request_id_.find(fields.integer("xid"));
+  if (at != query_of_request_id_.end()) queries_.gone(at->second);
 }
 
-void Instance::on_reminder(std::string_view token, double now) {
+void RouterInstance::on_timer(std::string_view token, double now) {
   if (token == "tick") {
-    tick_set_ = false;
-    if (queries_.tick(now)) say("keep_informed", 1);
+    tick_timer_set_ = false;
+    if (queries_.tick(now)) write_message("keep_informed", 1);
   } else if (token == "due") {
-    if (wake_at_ >= 0 && now >= wake_at_ - 1e-6) wake_at_ = -1;
+    if (wake_timer_at_ >= 0 && now >= wake_timer_at_ - kTimerTolerance) wake_timer_at_ = -1;
   }
 }
 
-void Instance::send(long long query, const Send& send, int) {
-  say("place", ids_.at(query).leaves[static_cast<std::size_t>(send.leaf)], micros(send.timeout),
-      node_ids_[static_cast<std::size_t>(send.node)]);
+void RouterInstance::send(long long query, const Send& send, int) {
+  write_message("place", ids_of_query_.at(query).part_ids[static_cast<std::size_t>(send.leaf)],
+                to_microseconds(send.timeout), node_ids_[static_cast<std::size_t>(send.node)]);
 }
-void Instance::cancel(long long query, const Cancel& cancel) {
-  say("withdraw", ids_.at(query).leaves[static_cast<std::size_t>(cancel.leaf)],
-      static_cast<long long>(cancel.call));
+void RouterInstance::cancel(long long query, const Cancel& cancel) {
+  write_message("withdraw", ids_of_query_.at(query).part_ids[static_cast<std::size_t>(cancel.leaf)],
+                static_cast<long long>(cancel.call));
 }
-void Instance::merge(long long query, bool whole) {
-  say("answer", ids_.at(query).query, whole ? 1 : 0);
+void RouterInstance::merge(long long query, bool whole) {
+  write_message("answer", ids_of_query_.at(query).request_id, whole ? 1 : 0);
 }
-void Instance::reject(long long query, double stay_away, const Why&) {
-  say("reject", ids_.at(query).query, micros(stay_away));
+void RouterInstance::reject(long long query, double stay_away, const Why&) {
+  write_message("reject", ids_of_query_.at(query).request_id, to_microseconds(stay_away));
 }
-void Instance::abort(long long query, const Why&) {
-  say("respond_error", ids_.at(query).query);
+void RouterInstance::abort(long long query, const Why&) {
+  write_message("respond_error", ids_of_query_.at(query).request_id);
 }
-void Instance::forget(long long query) {
-  const auto& ids = ids_.at(query);
-  asks_.erase(ids.query);
-  for (const auto id : ids.leaves) leaves_.erase(id);
-  ids_.erase(query);
+void RouterInstance::forget(long long query) {
+  const auto& ids = ids_of_query_.at(query);
+  query_of_request_id_.erase(ids.request_id);
+  for (const auto id : ids.part_ids) leaf_of_part_id_.erase(id);
+  ids_of_query_.erase(query);
 }
 
-void Instance::set_timer(const char* token, double at, double now) {
-  say("notify_me", token, std::max(micros(at - now), 1LL));
+void RouterInstance::set_timer(const char* token, double at, double now) {
+  write_message("notify_me", token, std::max(to_microseconds(at - now), 1LL));
 }
 
-void Instance::finish(double now, std::string& reply) {
+void RouterInstance::finish_batch(double now, std::string& reply) {
   queries_.finish(now);
-  if (!tick_set_) set_timer("tick", now + queries_.period(), now);
-  tick_set_ = true;
-  if (const auto next = due_.next(); due_.size() > 0 && (wake_at_ < 0 || next < wake_at_ - 1e-6)) {
-    wake_at_ = next;
-    set_timer("due", wake_at_, now);
+  if (!tick_timer_set_) set_timer("tick", now + queries_.period(), now);
+  tick_timer_set_ = true;
+  if (const auto next = timers_.next();
+      timers_.size() > 0 && (wake_timer_at_ < 0 || next < wake_timer_at_ - kTimerTolerance)) {
+    wake_timer_at_ = next;
+    set_timer("due", wake_timer_at_, now);
   }
-  reply += said_;
-  said_.clear();
+  reply += output_;
+  output_.clear();
 }
 
 }  // namespace yoketurn::wire
--- a/src/wire/text.cpp
+++ b/src/wire/text.cpp
@@ -5,98 +5,99 @@
 #include <cmath>
 
 namespace yoketurn::wire {
-std::string_view Fields::word(const char* what) {
-  if (rest_.empty()) throw InputError(std::string(what) + " is missing");
+std::string_view FieldReader::word(const char* field) {
+  if (rest_.empty()) throw InputError(std::string(field) + " is missing");
   const auto end = std::min(rest_.find(' '), rest_.size());
   const auto result = rest_.substr(0, end);
-  if (result.empty()) throw InputError(std::string(what) + " is empty");
+  if (result.empty()) throw InputError(std::string(field) + " is empty");
   rest_.remove_prefix(std::min(end + 1, rest_.size()));
   return result;
 }
 
 template <class Number>
-Number Fields::whole(const char* what) {
-  const auto text = word(what);
+Number FieldReader::parse_integer(const char* field) {
+  const auto text = word(field);
   Number value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{} || end != text.data() + text.size()) throw_invalid_value(what, text);
+  if (error != std::errc{} || end != text.data() + text.size()) throw_invalid_value(field, text);
   return value;
 }
 
-long long Fields::integer(const char* what) {
-  return whole<long long>(what);
+long long FieldReader::integer(const char* field) {
+  return parse_integer<long long>(field);
 }
-unsigned long long Fields::natural(const char* what) {
-  return whole<unsigned long long>(what);
+unsigned long long FieldReader::unsigned_integer(const char* field) {
+  return parse_integer<unsigned long long>(field);
 }
 
-int Fields::index(const char* what) {
-  const auto text = word(what);
+int FieldReader::index(const char* field) {
+  const auto text = word(field);
   const auto value = parse_number(text);
-  if (!value || std::abs(*value) > kMaxIndex) throw_invalid_value(what, text);
+  if (!value || std::abs(*value) > kMaxIndex) throw_invalid_value(field, text);
   return static_cast<int>(*value);
 }
 
-double Fields::number(const char* what, double absent) {
-  const auto text = word(what);
+double FieldReader::number(const char* field, double absent) {
+  const auto text = word(field);
   if (text == "-") return absent;
   const auto value = parse_number(text);
-  if (!value) throw_invalid_value(what, text);
+  if (!value) throw_invalid_value(field, text);
   return *value;
 }
 
-double Fields::seconds(const char* what, double absent) {
-  return number(what, absent * 1e6) / 1e6;
+double FieldReader::seconds(const char* field, double absent) {
+  return number(field, absent * 1e6) / 1e6;
 }
 
-Outcome outcome(std::string_view verdict) {
-  static constexpr std::pair<std::string_view, Outcome> kWords[] = {
+Outcome parse_outcome(std::string_view verdict) {
+  static constexpr std::pair<std::string_view, Outcome> kVerdicts[] = {
       {"success", Outcome::success},         {"failure", Outcome::failure},
       {"overloaded", Outcome::overloaded},   {"timed_out", Outcome::timed_out},
       {"unreachable", Outcome::unreachable}, {"broken", Outcome::broken},
       {"withdrawn", Outcome::cancelled},     {"void", Outcome::unsent}};
-  for (const auto& [word, meaning] : kWords)
-    if (word == verdict) return meaning;
+  for (const auto& [word, outcome] : kVerdicts)
+    if (word == verdict) return outcome;
   throw_invalid_value("verdict", verdict);
 }
 
 namespace {
 
-constexpr std::string_view kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+constexpr std::string_view kBase64Digits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
 }  // namespace
 
-std::string encode(std::string_view raw) {
+std::string encode_base64(std::string_view bytes) {
   std::string text;
-  for (std::size_t i = 0; i < raw.size(); i += 3) {
+  for (std::size_t i = 0; i < bytes.size(); i += 3) {
     std::uint32_t bits = 0;
     for (std::size_t j = 0; j < 3; ++j)
-      bits = bits << 8 | (i + j < raw.size() ? static_cast<unsigned char>(raw[i + j]) : 0u);
-    for (std::size_t j = 0; j < 4; ++j) text += i + j > raw.size() ? '=' : kDigits[bits >> (18 - 6 * j) & 63];
+      bits = bits << 8 | (i + j < bytes.size() ? static_cast<unsigned char>(bytes[i + j]) : 0u);
+    for (std::size_t j = 0; j < 4; ++j)
+      text += i + j > bytes.size() ? '=' : kBase64Digits[bits >> (18 - 6 * j) & 63];
   }
   return text.empty() ? "-" : text;
 }
 
-std::optional<std::string> decode(std::string_view text) {
-  std::string raw;
-  if (text == "-") return raw;
+std::optional<std::string> decode_base64(std::string_view text) {
+  std::string bytes;
+  if (text == "-") return bytes;
   if (text.size() % 4 != 0) return std::nullopt;
   const auto padding = text.size() - std::min(text.find_last_not_of('=') + 1, text.size());
   if (padding > 2) return std::nullopt;
   text.remove_suffix(padding);
   std::uint32_t bits = 0;
-  int held = 0;
+  int bit_count = 0;
   for (const auto digit : text) {
-    const auto value = kDigits.find(digit);
+    const auto value = kBase64Digits.find(digit);
     if (value == std::string_view::npos) return std::nullopt;
     bits = bits << 6 | static_cast<std::uint32_t>(value);
-    held += 6;
-    if (held >= 8) raw += static_cast<char>(bits >> (held -= 8) & 0xff);
+    bit_count += 6;
+    if (bit_count >= 8) bytes += static_cast<char>(bits >> (bit_count -= 8) & 0xff);
   }
-  return raw;
+  return bytes;
 }
 
-long long micros(double seconds) {
+long long to_microseconds(double seconds) {
   return std::llround(seconds * 1e6);
 }
 
--- a/src/wire/text.hpp
+++ b/src/wire/text.hpp
@@ -1,4 +1,4 @@
-// Reading and writing the text wire: fields of a line and numbers. Knows nothing of instances.
+// Parsing and formatting of the simulator's line protocol: the fields of a line, numbers and base64.
 #pragma once
 
 #include <string>
@@ -9,29 +9,32 @@
 
 namespace yoketurn::wire {
 
-// The fields of one line, taken from left to right.
-class Fields {
+// Reads the space-separated fields of one line from left to right. Each function takes the next field;
+// `field` is its name in error messages. All throw InputError if the field is missing or malformed.
+class FieldReader {
  public:
-  explicit Fields(std::string_view line) : rest_(line) {}
-  std::string_view word(const char* what);
-  long long integer(const char* what);
-  unsigned long long natural(const char* what);
-  int index(const char* what);  // a small whole number; anything else is malformed
-  double number(const char* what, double absent);
-  double seconds(const char* what, double absent);
-  std::string_view rest() const { return rest_; }
+  explicit FieldReader(std::string_view line) : rest_(line) {}
+  std::string_view word(const char* field);
+  long long integer(const char* field);
+  unsigned long long unsigned_integer(const char* field);
+  int index(const char* field);                     // within plus or minus kMaxIndex
+  double number(const char* field, double absent);  // `absent` if the field is "-"
+  double seconds(const char* field,
+                 double absent);  // written in microseconds; `absent`, in seconds, if it is "-"
+  std::string_view rest() const { return rest_; }  // what has not been read yet
 
  private:
   template <class Number>
-  Number whole(const char* what);
+  Number parse_integer(const char* field);
 
   std::string_view rest_;
 };
 
-Outcome outcome(std::string_view verdict);
-long long micros(double seconds);
+Outcome parse_outcome(std::string_view verdict);  // throws InputError on an unknown one
+long long to_microseconds(double seconds);
 
-std::string encode(std::string_view raw);                  // base64 with padding; "-" for nothing
-std::optional<std::string> decode(std::string_view text);  // nothing: it is no such text
+// Base64 with padding; "-" stands for no bytes. Decoding returns nullopt for malformed text.
+std::string encode_base64(std::string_view bytes);
+std::optional<std::string> decode_base64(std::string_view text);
 
 }  // namespace yoketurn::wire
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -160,7 +160,8 @@
   const char* verticals[] = {"look", "change", "book"};
   struct Recorder : Actions {
     void send(long long query, const Send& send, int call) override {
-      said += fmt::format("place {} {} {}\n", query * 10 + send.leaf, wire::micros(send.timeout), send.node);
+      said += fmt::format("place {} {} {}\n", query * 10 + send.leaf, wire::to_microseconds(send.timeout),
+                          send.node);
       out.push_back({query, send.leaf, send.node, call});
     }
     void cancel(long long query, const Cancel& cancel) override {
@@ -170,7 +171,7 @@
       said += fmt::format("answer {} {:d}\n", query * 10 + 9, whole);
     }
     void reject(long long query, double away, const Why&) override {
-      said += fmt::format("reject {} {}\n", query * 10 + 9, wire::micros(away));
+      said += fmt::format("reject {} {}\n", query * 10 + 9, wire::to_microseconds(away));
     }
     void abort(long long query, const Why&) override {
       said += fmt::format("respond_error {}\n", query * 10 + 9);
@@ -222,7 +223,7 @@
       if (call.node == turn / 40 % 4) continue;
       text += fmt::format("response router-0 {} {} {} {} 1 1 -\n", call.query * 10 + call.leaf, call.call,
                           call.node, verdict);
-      queries.outcome(call.query, call.leaf, call.call, wire::outcome(verdict), 0, at);
+      queries.outcome(call.query, call.leaf, call.call, wire::parse_outcome(verdict), 0, at);
     }
     if (turn % 50 == 0) {
       text += fmt::format("gone router-0 {}\n", (turn - turn % 3) * 10 + 9);
@@ -233,7 +234,7 @@
   }
   std::istringstream in(text);
   std::ostringstream out, log;
-  wire::Host().run(in, out, log);
+  wire::InstanceHost().run(in, out, log);
   std::string said, line;
   for (std::istringstream lines(out.str()); std::getline(lines, line);) {
     if (line.starts_with("end ") || line.starts_with("notify_me ")) continue;
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -190,7 +190,7 @@
     return all;
   }
 
-  wire::Host host;
+  wire::InstanceHost host;
   std::ostringstream log;
   std::mt19937 engine{20};
   long long clock = 1'000'000, last = 0, outcomes = 0;
