--- a/src/commands/commands.hpp
+++ b/src/commands/commands.hpp
@@ -1,4 +1,4 @@
-// The sub-commands, one file each. Each returns the exit code: 0, 1 trouble; CLI11 makes misuse 2.
+// The subcommands of `yoketurn`, one source file each. Each returns the program's exit code.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -8,22 +8,24 @@
 
 namespace yoketurn::commands {
 
-inline constexpr int kTrouble = 1, kMisuse = 2;
+inline constexpr int kExitFailure = 1, kExitUsage = 2;  // 2: invalid command line
 
-// What the program says it is; stands beside main.
-struct Build {
+// Identifies this build in version reports. Defined in main.cpp from compile definitions.
+struct BuildInfo {
   const char* version;
   const char* revision;
-  std::uint64_t decisions;  // hash of their sources
+  std::uint64_t policy_hash;  // hash of the sources in src/policy
 };
-extern const Build kBuild;
+extern const BuildInfo kBuildInfo;
 
-// Runs the router as the platform starts it when both are empty: RELAY_CONFIG names the configuration.
-int run(std::string config, const std::string& operators);
+// Runs a router until it is stopped. `config_path` is the platform's configuration (empty: RELAY_CONFIG names
+// it), `operators_path` the operators' file (empty: none).
+int run(std::string config_path, const std::string& operators_path);
 
-using Chosen = std::function<int()>;
-void add_run(CLI::App& app, Chosen& chosen);
-void add_check(CLI::App& app, Chosen& chosen);
-void add_timeline(CLI::App& app, Chosen& chosen);
+// Each add_ function declares a subcommand, which sets `selected` when it is parsed.
+using SelectedCommand = std::function<int()>;
+void add_run(CLI::App& app, SelectedCommand& selected);
+void add_check(CLI::App& app, SelectedCommand& selected);
+void add_timeline(CLI::App& app, SelectedCommand& selected);
 
 }  // namespace yoketurn::commands
--- a/src/commands/timeline.cpp
+++ b/src/commands/timeline.cpp
@@ -21,6 +21,7 @@
 
 namespace {
 
+// Values of the command line, as text; empty: not given.
 struct Options {
   std::string router, segments, span, node, query, at, out;
 };
@@ -29,7 +30,7 @@
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-std::string escaped(std::string_view text) {
+std::string url_encode(std::string_view text) {
   std::string result;
   for (const unsigned char c : text)
     result += std::isalnum(c) || c == '-' || c == '.' || c == '_' ? std::string(1, static_cast<char>(c))
@@ -37,51 +38,54 @@
   return result;
 }
 
-// The body that a running router answers with.
+// Sends a GET request to a running router and returns the body of its response. Throws if the response is not
+// 200.
 std::string fetch(const std::string& router, const std::string& target) {
   namespace asio = boost::asio;
-  const auto at = read_endpoint(router);
-  if (!at) throw std::runtime_error("--router " + router + ": expected HOST:PORT as numbers");
+  const auto endpoint = read_endpoint(router);
+  if (!endpoint) throw std::runtime_error("--router " + router + ": expected a numeric address as HOST:PORT");
   asio::io_context context;
   asio::ip::tcp::socket socket(context);
   boost::system::error_code error;
-  socket.connect(*at, error);
+  socket.connect(*endpoint, error);
   if (error) throw std::runtime_error(router + ": " + error.message());
   asio::write(socket, asio::buffer(fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\n\r\n", target, router)));
-  std::string all;
-  std::vector<char> piece(1 << 16);
+  std::string response;
+  std::vector<char> buffer(1 << 16);
   for (;;) {
-    const auto count = socket.read_some(asio::buffer(piece), error);
+    const auto count = socket.read_some(asio::buffer(buffer), error);
     if (error) break;
-    all.append(piece.data(), count);
+    response.append(buffer.data(), count);
   }
-  const auto head = all.find("\r\n\r\n");
-  if (head == std::string::npos) throw std::runtime_error(router + ": no answer");
-  const auto body = all.substr(head + 4);
-  if (!all.starts_with("HTTP/1.1 200"))
+  const auto header_end = response.find("\r\n\r\n");
+  if (header_end == std::string::npos) throw std::runtime_error(router + ": no HTTP response");
+  const auto body = response.substr(header_end + 4);
+  if (!response.starts_with("HTTP/1.1 200"))
     throw std::runtime_error(router + ": " + body.substr(0, body.find('\n')));
   return body;
 }
 
-std::vector<Record> records_of(const Options& o, const std::string& line = "") {
+// Events of the requested span, of a running router or of segments on disk; only of `line` unless it is
+// empty.
+std::vector<Record> read_records(const Options& o, const std::string& line = "") {
   const auto span = span_of(o.span, unix_now());
   if (!span)
-    throw std::runtime_error("--span '" + o.span + "': expected last 10m, a moment in ISO, or FROM..TO");
+    throw std::runtime_error("--span '" + o.span + "': expected \"last 10m\", an ISO 8601 time or FROM..TO");
   std::vector<Record> records;
   if (!o.router.empty()) {
     auto target = fmt::format("/timeline/events?from={:.3f}", span->from);
     if (std::isfinite(span->to)) target += fmt::format("&to={:.3f}", span->to);
-    if (!line.empty()) target += "&line=" + escaped(line);
+    if (!line.empty()) target += "&line=" + url_encode(line);
     std::istringstream body(fetch(o.router, target));
-    for (std::string each; std::getline(body, each);)
-      if (auto record = record_from_json(each)) records.push_back(std::move(*record));
+    for (std::string json_line; std::getline(body, json_line);)
+      if (auto record = record_from_json(json_line)) records.push_back(std::move(*record));
     return records;
   }
   if (o.segments.empty())
     throw std::runtime_error("name a running router (--router) or a folder of segments (--segments)");
   const auto read = read_segments(o.segments);
   for (const auto& told : read.told) fmt::print(stderr, "{}\n", told);
-  if (read.events.empty() && read.told.empty()) throw std::runtime_error(o.segments + ": no segments there");
+  if (read.events.empty() && read.told.empty()) throw std::runtime_error(o.segments + ": no segments found");
   const auto name_of = [&](std::uint32_t id) {
     const auto at = read.names.find(id);
     return at == read.names.end() ? (id == kDoor   ? "door"
@@ -102,11 +106,11 @@
   return records;
 }
 
-void say(const std::string& line) {
+void print_line(const std::string& line) {
   fmt::print("{}\n", line);
 }
 
-int nodes(const Options& o) {
+int list_nodes(const Options& o) {
   if (!o.router.empty()) {
     std::istringstream body(fetch(o.router, "/timeline/nodes"));
     fmt::print("{:<20} {:<9} {:<8} {:>8} {:>5} {:>9}  {}\n", "node", "state", "belief", "sent", "out",
@@ -126,112 +130,118 @@
     }
     return 0;
   }
-  struct Seen {
-    double first = 0, last = 0;
-    long long sent = 0, answered = 0, bad = 0;
+  struct NodeSummary {
+    double first = 0, last = 0;                   // Unix times of its events
+    long long sent = 0, answered = 0, other = 0;  // calls; answered and other by outcome
     std::string state;
   };
-  std::map<std::string, Seen> seen;
-  for (const auto& r : records_of(o)) {
+  std::map<std::string, NodeSummary> summaries;
+  for (const auto& r : read_records(o)) {
     if (r.line == "door" || r.line == "loop") continue;
-    auto& node = seen[r.line];
+    auto& node = summaries[r.line];
     if (node.first == 0) node.first = r.unix;
     node.last = r.unix;
     const auto what = r.event.what;
     if (what == What::sent) ++node.sent;
     if (what == What::outcome)
-      ++(static_cast<Outcome>(r.event.why) == Outcome::success ? node.answered : node.bad);
+      ++(static_cast<Outcome>(r.event.why) == Outcome::success ? node.answered : node.other);
     if (what == What::ready || what == What::draining || what == What::gone) node.state = name(what);
   }
   fmt::print("{:<20} {:<9} {:>8} {:>9} {:>7}  {} .. {}\n", "node", "state", "sent", "answered", "other",
              "first", "last");
-  for (const auto& [name, n] : seen)
-    fmt::print("{:<20} {:<9} {:>8} {:>9} {:>7}  {} .. {}\n", name, n.state, n.sent, n.answered, n.bad,
+  for (const auto& [name, n] : summaries)
+    fmt::print("{:<20} {:<9} {:>8} {:>9} {:>7}  {} .. {}\n", name, n.state, n.sent, n.answered, n.other,
                iso(n.first), iso(n.last));
   return 0;
 }
 
-int show(const Options& o) {
-  tell_story(records_of(o, o.node), say);
+int show_line(const Options& o) {
+  tell_story(read_records(o, o.node), print_line);
   return 0;
 }
 
-int why(const Options& o) {
+int explain(const Options& o) {
   if (!o.query.empty()) {
-    tell_query(records_of(o), o.query, say);
+    tell_query(read_records(o), o.query, print_line);
     return 0;
   }
   const auto at = from_iso(o.at);
   if (o.node.empty() || !at) {
-    fmt::print(stderr, "yoketurn timeline why: name --query ID, or --node N and --at T in ISO\n");
-    return kMisuse;
+    fmt::print(stderr, "yoketurn timeline why: expected --query ID, or --node N and --at T (ISO 8601)\n");
+    return kExitUsage;
   }
-  tell_node(records_of(o), o.node, *at, say);
+  tell_node(read_records(o), o.node, *at, print_line);
   return 0;
 }
 
-int departures(const Options& o) {
-  for (const auto& r : records_of(o))
+int list_anomalies(const Options& o) {
+  for (const auto& r : read_records(o))
     if (r.event.what == What::departed || r.event.what == What::returned)
-      say(fmt::format("{}  {:<16}  {}", iso(r.unix), r.line == "loop" ? "fleet" : r.line, sentence(r)));
+      print_line(
+          fmt::format("{}  {:<16}  {}", iso(r.unix), r.line == "loop" ? "fleet" : r.line, sentence(r)));
   return 0;
 }
 
-int sites(const Options& o) {
-  for (const auto& r : records_of(o))
-    if (r.event.what == What::site) say(fmt::format("{}  {:<16}  {}", iso(r.unix), r.line, sentence(r)));
+int list_site_changes(const Options& o) {
+  for (const auto& r : read_records(o))
+    if (r.event.what == What::site)
+      print_line(fmt::format("{}  {:<16}  {}", iso(r.unix), r.line, sentence(r)));
   return 0;
 }
 
-int plot(const Options& o) {
-  plot_node(records_of(o, o.node), o.node, o.out);
+int plot_line(const Options& o) {
+  plot_node(read_records(o, o.node), o.node, o.out);
   fmt::print("{}\n", o.out);
   return 0;
 }
 
-int export_all(const Options& o) {
-  for (const auto& r : records_of(o, o.node)) fmt::print("{}\n", to_json(r));
+int export_events(const Options& o) {
+  for (const auto& r : read_records(o, o.node)) fmt::print("{}\n", to_json(r));
   return 0;
 }
 
 }  // namespace
 
-void add_timeline(CLI::App& app, Chosen& chosen) {
+void add_timeline(CLI::App& app, SelectedCommand& selected) {
   auto* command =
       app.add_subcommand("timeline", "Read the time line of a running router or of segments on disk.");
   const auto o = std::make_shared<Options>();
-  command->add_option("--router", o->router, "HOST:PORT of timeline.listen");
+  command->add_option("--router", o->router, "HOST:PORT of a running router (its entry timeline.listen)");
   command->add_option("--segments", o->segments, "Folder of segments");
-  command->add_option("--span", o->span, "last 10m, a moment in ISO, or FROM..TO");
+  command->add_option("--span", o->span, "\"last 10m\", an ISO 8601 time or FROM..TO");
   command->require_subcommand(1);
   command->fallthrough();
   command->footer("Example: yoketurn timeline --router 127.0.0.1:18090 --span \"last 10m\" show s-2");
-  const auto add = [&](const char* name, const char* help, int (*act)(const Options&)) {
+  const auto add = [&](const char* name, const char* help, int (*action)(const Options&)) {
     auto* sub = command->add_subcommand(name, help);
-    sub->callback([&chosen, o, act] {
-      chosen = [o, act] {
+    sub->callback([&selected, o, action] {
+      selected = [o, action] {
         try {
-          return act(*o);
+          return action(*o);
         } catch (const std::exception& error) {
           fmt::print(stderr, "yoketurn timeline: {}\n", error.what());
-          return kTrouble;
+          return kExitFailure;
         }
       };
     });
     return sub;
   };
-  add("nodes", "All nodes, a line each", nodes);
-  add("show", "The story of a node, of door or of loop", show)->add_option("node", o->node)->required();
-  auto* reason = add("why", "Why a node was or was not chosen, or what became of a query", why);
+  add("nodes", "List all nodes, one a line", list_nodes);
+  add("show", "Print the events of a node, of the client ingress (door) or of the event loop (loop)",
+      show_line)
+      ->add_option("node", o->node)
+      ->required();
+  auto* reason = add("why", "Explain why a node was or was not chosen, or what became of a query", explain);
   reason->add_option("--node", o->node);
-  reason->add_option("--at", o->at, "A moment in ISO");
-  reason->add_option("--query", o->query, "The id that the client gave");
-  add("departures", "Departures and returns", departures);
-  add("sites", "What was believed of sites, and on what it hung", sites);
-  auto* drawn = add("plot", "Draw a node's line as SVG (needs gnuplot)", plot);
+  reason->add_option("--at", o->at, "A time in ISO 8601");
+  reason->add_option("--query", o->query, "The id that the client gave the query");
+  add("departures", "List when nodes departed from their usual behaviour, and when they returned to it",
+      list_anomalies);
+  add("sites", "List how sites were assessed over time, and on what evidence", list_site_changes);
+  auto* drawn = add("plot", "Plot a node's time line as SVG (needs gnuplot)", plot_line);
   drawn->add_option("node", o->node)->required();
   drawn->add_option("-o,--out", o->out)->required();
-  add("export", "All events as JSON lines", export_all)->add_option("node", o->node);
+  add("export", "Print all events as JSON lines", export_events)->add_option("node", o->node);
 }
 
 }  // namespace yoketurn::commands
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -36,7 +36,7 @@
   double optional_number(const std::string& path, double default_value) const {
     return setup_.contains(path) ? number(path, 0) : default_value;
   }
-  // A time that is written in microseconds.
+  // A time that is written in microseconds; returned in seconds.
   double seconds(const std::string& path) const { return number(path, 0) / 1e6; }
   int count(const std::string& path, int min) const {
     const auto value = number(path, min);
--- a/src/wire/text.hpp
+++ b/src/wire/text.hpp
@@ -19,8 +19,8 @@
   unsigned long long unsigned_integer(const char* field);
   int index(const char* field);                     // within plus or minus kMaxIndex
   double number(const char* field, double absent);  // `absent` if the field is "-"
-  double seconds(const char* field,
-                 double absent);  // written in microseconds; `absent`, in seconds, if it is "-"
+  // A time that is written in microseconds; returned in seconds, like `absent`, which stands for "-".
+  double seconds(const char* field, double absent);
   std::string_view rest() const { return rest_; }  // what has not been read yet
 
  private:
