--- a/src/operators/operators.cpp
+++ b/src/operators/operators.cpp
@@ -21,73 +21,84 @@
 namespace {
 
 constexpr double kKiB = 1024, kMiB = 1024 * kKiB, kGiB = 1024 * kMiB;
-constexpr double kDay = 86400;
-constexpr std::size_t kLargestFile = 1 << 20;
+constexpr double kDay = 86400;  // seconds
+constexpr std::size_t kMaxFileBytes = 1 << 20;
 
 using enum EntryType;
 constexpr EntrySpec kEntries[] = {
-    {"log.format", choice, 0, 0, "text json", "text", "Form of a log line."},
-    {"log.level", choice, 0, 0, "debug info warning error", "info", "The least level that is written."},
+    {"log.format", choice, 0, 0, "text json", "text", "Format of a log line."},
+    {"log.level", choice, 0, 0, "debug info warning error", "info",
+     "Minimum level of the lines that are written."},
     {"log.queue", size, 4 * kKiB, 16 * kMiB, "", "256KiB",
-     "Log lines that wait while the reader of standard output stalls; what does not fit is counted and "
-     "told."},
+     "Buffer for log lines while the reader of standard output stalls; lines that do not fit are dropped, "
+     "and their number is logged."},
     {"timeline.on", flag, 0, 0, "", "no",
-     "Keep a time line of every data node, the clients' door and the loop."},
-    {"timeline.memory", size, 256 * kKiB, 8 * kGiB, "", "4MiB", "Memory of the time line, all in."},
+     "Record a time line of every data node, of the client ingress (door) and of the event loop (loop)."},
+    {"timeline.memory", size, 256 * kKiB, 8 * kGiB, "", "4MiB", "Memory of the whole time line."},
     {"timeline.fine", percentage, 0.1, 0.9, "", "50%",
-     "Share of that memory for single events; the rest holds summaries."},
-    {"timeline.lines", count, 4, 100'000, "", "512", "Nodes that have a line, those that are gone included."},
+     "Share of timeline.memory for single events; the rest holds summaries."},
+    {"timeline.lines", count, 4, 100'000, "", "512",
+     "Maximum number of nodes with a time line, removed nodes included."},
     {"timeline.listen", endpoint, 0, 0, "", "off",
-     "Loopback address at which the time line can be read over HTTP."},
-    {"timeline.readers", count, 1, 64, "", "4", "Readers at once at that address."},
-    {"timeline.reports", duration, 0.05, 3600, "", "off", "Each node is asked for its load so often."},
-    {"segments.folder", path, 0, 0, "", "off", "Folder for events on disk; needs a disk that lasts."},
-    {"segments.size", size, 64 * kKiB, 1 * kGiB, "", "16MiB", "A segment is closed at this size."},
+     "Loopback address at which the time line is served over HTTP."},
+    {"timeline.readers", count, 1, 64, "", "4", "Maximum number of concurrent readers at timeline.listen."},
+    {"timeline.reports", duration, 0.05, 3600, "", "off",
+     "Interval at which each node is asked for a load report."},
+    {"segments.folder", path, 0, 0, "", "off",
+     "Folder for segments, the files that hold events; must be on persistent storage."},
+    {"segments.size", size, 64 * kKiB, 1 * kGiB, "", "16MiB",
+     "Size at which a segment is closed and the next one begun."},
     {"segments.total", size, 128 * kKiB, 1024 * kGiB, "", "256MiB",
-     "The oldest segments are removed beyond it."},
-    {"segments.age", duration, 1, 3650 * kDay, "", "7d", "Segments older than this are removed."},
+     "Total size beyond which the oldest segments are deleted."},
+    {"segments.age", duration, 1, 3650 * kDay, "", "7d", "Age beyond which a segment is deleted."},
     {"segments.queue", count, 1024, 1 << 20, "", "16384",
-     "Events that wait for the disk; more are counted as a gap."},
+     "Maximum number of events that wait for the disk; further ones are dropped and counted as a gap."},
     {"departures.on", flag, 0, 0, "", "yes",
-     "Tell when a node departs from its usual behaviour (needs the time line)."},
-    {"departures.slow", decimal, 1.2, 100, "", "2.5", "Times its usual latency at which a node is slow."},
+     "Detect and report nodes that deviate from their usual behaviour (needs timeline.on)."},
+    {"departures.slow", decimal, 1.2, 100, "", "2.5",
+     "Multiple of its usual latency from which a node counts as slow."},
     {"departures.stall", decimal, 2, 1000, "", "6",
-     "Times its usual latency without any answer that make a stall."},
-    {"departures.least", duration, 0.01, 60, "", "300ms", "A stall is no shorter than this."},
-    {"departures.fails", percentage, 0.01, 1, "", "20%", "Share of bad outcomes at which a node fails."},
-    {"departures.flaps", count, 2, 1000, "", "4", "Changes of its state in a minute at which a node flaps."},
-    {"departures.reports", duration, 0.1, 3600, "", "3s", "A load report of this age is late."},
-    {"departures.alarms", decimal, 0.0001, 1000, "", "0.5",
-     "False alarms a node and day that may be expected."},
+     "Multiple of its usual latency without any answer from which a node counts as stalled."},
+    {"departures.least", duration, 0.01, 60, "", "300ms", "Minimum time without any answer for a stall."},
+    {"departures.fails", percentage, 0.01, 1, "", "20%",
+     "Share of failed outcomes from which a node counts as failing."},
+    {"departures.flaps", count, 2, 1000, "", "4",
+     "State changes a minute from which a node counts as flapping."},
+    {"departures.reports", duration, 0.1, 3600, "", "3s", "Age from which a load report counts as late."},
+    {"departures.alarms", decimal, 0.0001, 1000, "", "0.5", "Accepted rate of false alarms a node and day."},
     {"departures.fleet", percentage, 0.1, 1, "", "50%",
-     "Share of the nodes that makes one event of the fleet."},
-    {"departures.most", count, 16, 100'000, "", "4096", "Departures open at once that are kept."},
+     "Share of the nodes from which simultaneous departures are reported as one event of the fleet."},
+    {"departures.most", count, 16, 100'000, "", "4096",
+     "Maximum number of open departures that are tracked."},
     {"sites.on", flag, 0, 0, "", "yes",
-     "Take the loss of a whole site (a zone of the list) for one event, and pace its return."},
-    {"sites.evacuate", name, 0, 0, "", "off", "A site that is to be emptied."},
+     "Treat the loss of a whole site (a zone of the list) as one event, and ramp up its share when it "
+     "returns."},
+    {"sites.evacuate", name, 0, 0, "", "off", "Site to evacuate: its share goes down to 0."},
     {"sites.over", duration, 1, kDay, "", "30s",
-     "Time in which its share goes down to nothing, and up again afterwards."},
+     "Time over which the evacuated site's share goes down to 0, and back up afterwards."},
     {"sites.until", timestamp, 0, 0, "", "off",
-     "From then on it is filled again; needed with sites.evacuate."},
+     "Time from which the evacuated site is filled again; required with sites.evacuate."},
     {"fleet.orders", path, 0, 0, "", "off",
-     "Folder in which the auditor leaves an order for this router, as NAME.info."},
-    {"fleet.longest", duration, 1, kDay, "", "15m", "No order is obeyed for longer than this."},
+     "Folder in which the auditor writes orders for this router, as NAME.info."},
+    {"fleet.longest", duration, 1, kDay, "", "15m", "Maximum time for which an order is followed."},
     {"fleet.alone", flag, 0, 0, "", "no",
-     "Ask for the whole list again, and step aside by chance, on the router's own doubt."},
+     "Without an order, request the full list again and step aside at random when this router's own check "
+     "finds it stale."},
     {"fleet.share", percentage, 0.01, 0.5, "", "10%",
-     "Share of the routers in long doubt that step aside by themselves."},
+     "Share of the routers with a long staleness that step aside without an order."},
     {"fleet.intervals", count, 8, 100'000, "", "512",
-     "Intervals of versions that are kept for readers at timeline.listen."},
+     "Version intervals that are kept for readers at timeline.listen."},
 };
 
 struct Unit {
   std::string_view name;
-  double worth;
+  double factor;  // to seconds or bytes
 };
-constexpr Unit kTimes[] = {{"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}, {"d", kDay}};
-constexpr Unit kSizes[] = {{"KiB", kKiB}, {"MiB", kMiB}, {"GiB", kGiB}, {"B", 1}};
+constexpr Unit kTimeUnits[] = {{"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}, {"d", kDay}};
+constexpr Unit kSizeUnits[] = {{"KiB", kKiB}, {"MiB", kMiB}, {"GiB", kGiB}, {"B", 1}};
 
-std::string expected(const EntrySpec& e) {
+// What a value must be, for messages and the reference page.
+std::string expected_value(const EntrySpec& e) {
   switch (e.type) {
     case flag:
       return "yes or no";
@@ -98,22 +109,23 @@
     case decimal:
       return fmt::format("a number from {:g} to {:g}", e.min, e.max);
     case duration: {
-      const auto shown = [](double s) {
-        const Unit* best = kTimes;
-        for (const auto& unit : kTimes)
-          if (s >= unit.worth) best = &unit;
-        return fmt::format("{:g}{}", s / best->worth, best->name);
+      const auto format_time = [](double s) {
+        const Unit* best = kTimeUnits;
+        for (const auto& unit : kTimeUnits)
+          if (s >= unit.factor) best = &unit;
+        return fmt::format("{:g}{}", s / best->factor, best->name);
       };
-      return fmt::format("a time with its unit (us, ms, s, m, h, d) from {} to {}{}", shown(e.min),
-                         shown(e.max), e.default_value == "off" ? ", or off" : "");
+      return fmt::format("a time with its unit (us, ms, s, m, h, d) from {} to {}{}", format_time(e.min),
+                         format_time(e.max), e.default_value == "off" ? ", or off" : "");
     }
     case size: {
-      const auto shown = [](double s) {
-        return s >= kGiB   ? fmt::format("{:g}GiB", s / kGiB)
-               : s >= kMiB ? fmt::format("{:g}MiB", s / kMiB)
-                           : fmt::format("{:g}KiB", s / kKiB);
+      const auto format_size = [](double bytes) {
+        return bytes >= kGiB   ? fmt::format("{:g}GiB", bytes / kGiB)
+               : bytes >= kMiB ? fmt::format("{:g}MiB", bytes / kMiB)
+                               : fmt::format("{:g}KiB", bytes / kKiB);
       };
-      return fmt::format("a size with its unit (B, KiB, MiB, GiB) from {} to {}", shown(e.min), shown(e.max));
+      return fmt::format("a size with its unit (B, KiB, MiB, GiB) from {} to {}", format_size(e.min),
+                         format_size(e.max));
     }
     case choice:
       return fmt::format("one of: {}", e.choices);
@@ -124,42 +136,42 @@
     case name:
       return "a name, or off";
     case timestamp:
-      return "a moment in UTC such as 2027-01-31T22:00:00Z, or off";
+      return "a time in UTC such as 2027-01-31T22:00:00Z, or off";
   }
   return "";
 }
 
-std::optional<double> plain(std::string_view text) {
+std::optional<double> parse_finite_number(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
   return value;
 }
 
-std::optional<double> with_unit(std::string_view text, std::span<const Unit> units) {
+std::optional<double> parse_number_with_unit(std::string_view text, std::span<const Unit> units) {
   const auto begin = text.find_first_not_of("0123456789.");
   if (begin == 0 || begin == std::string_view::npos) return std::nullopt;
   const auto unit =
       std::find_if(units.begin(), units.end(), [&](const Unit& u) { return u.name == text.substr(begin); });
-  const auto number = plain(text.substr(0, begin));
+  const auto number = parse_finite_number(text.substr(0, begin));
   if (unit == units.end() || !number) return std::nullopt;
-  return *number * unit->worth;
+  return *number * unit->factor;
 }
 
-bool loopback(std::string_view text) {
+bool is_loopback_endpoint(std::string_view text) {
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos) return false;
   boost::system::error_code error;
   auto host = std::string(text.substr(0, colon));
   if (host.starts_with('[') && host.ends_with(']')) host = host.substr(1, host.size() - 2);
   const auto address = boost::asio::ip::make_address(host, error);
-  const auto port = plain(text.substr(colon + 1));
+  const auto port = parse_finite_number(text.substr(colon + 1));
   return !error && address.is_loopback() && port && *port >= 0 && *port <= 65535 &&
          *port == std::floor(*port);
 }
 
-// Unix time of a moment in UTC, to the second.
-std::optional<double> unix_of(const std::string& text) {
+// Unix time of an ISO 8601 time in UTC with whole seconds.
+std::optional<double> parse_timestamp(const std::string& text) {
   std::tm when{};
   std::istringstream in(text);
   in >> std::get_time(&when, "%Y-%m-%dT%H:%M:%SZ");
@@ -167,8 +179,9 @@
   return static_cast<double>(::timegm(&when));
 }
 
-std::optional<EntryValue> value_of(const EntrySpec& e, const std::string& text) {
-  const auto within = [&](std::optional<double> number) -> std::optional<EntryValue> {
+// The value of an entry; nullopt if the text is not one that the entry accepts.
+std::optional<EntryValue> parse_value(const EntrySpec& e, const std::string& text) {
+  const auto if_in_range = [&](std::optional<double> number) -> std::optional<EntryValue> {
     if (!number || *number < e.min || *number > e.max) return std::nullopt;
     return EntryValue{*number, {}};
   };
@@ -178,29 +191,30 @@
       if (text == "yes" || text == "no") return EntryValue{text == "yes" ? 1.0 : 0.0, {}};
       return std::nullopt;
     case count: {
-      const auto number = plain(text);
-      return number && *number == std::floor(*number) ? within(number) : std::nullopt;
+      const auto number = parse_finite_number(text);
+      return number && *number == std::floor(*number) ? if_in_range(number) : std::nullopt;
     }
     case percentage: {
-      const auto number =
-          text.ends_with('%') ? plain(std::string_view(text).substr(0, text.size() - 1)) : std::nullopt;
-      return number ? within(*number / 100) : std::nullopt;
+      const auto number = text.ends_with('%')
+                              ? parse_finite_number(std::string_view(text).substr(0, text.size() - 1))
+                              : std::nullopt;
+      return number ? if_in_range(*number / 100) : std::nullopt;
     }
     case decimal:
-      return within(plain(text));
+      return if_in_range(parse_finite_number(text));
     case duration:
-      return off ? EntryValue{} : within(with_unit(text, kTimes));
+      return off ? EntryValue{} : if_in_range(parse_number_with_unit(text, kTimeUnits));
     case size:
-      return within(with_unit(text, kSizes));
+      return if_in_range(parse_number_with_unit(text, kSizeUnits));
     case choice: {
-      std::istringstream words{std::string(e.choices)};
-      for (std::string one; words >> one;)
-        if (one == text) return EntryValue{0, text};
+      std::istringstream choices{std::string(e.choices)};
+      for (std::string each; choices >> each;)
+        if (each == text) return EntryValue{0, text};
       return std::nullopt;
     }
     case endpoint:
       if (off) return EntryValue{};
-      return loopback(text) ? std::optional(EntryValue{0, text}) : std::nullopt;
+      return is_loopback_endpoint(text) ? std::optional(EntryValue{0, text}) : std::nullopt;
     case path:
       if (off) return EntryValue{};
       return text.starts_with('/') ? std::optional(EntryValue{0, text}) : std::nullopt;
@@ -208,44 +222,44 @@
       return off ? EntryValue{} : text.empty() ? std::nullopt : std::optional(EntryValue{0, text});
     case timestamp:
       if (off) return EntryValue{};
-      if (const auto at = unix_of(text)) return EntryValue{*at, text};
+      if (const auto at = parse_timestamp(text)) return EntryValue{*at, text};
       return std::nullopt;
   }
   return std::nullopt;
 }
 
-// Levenshtein's distance, for the nearest known name.
-std::size_t distance(std::string_view a, std::string_view b) {
+std::size_t levenshtein_distance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
   for (std::size_t i = 1; i <= a.size(); ++i) {
-    auto corner = row[0];
+    auto diagonal = row[0];
     row[0] = i;
     for (std::size_t j = 1; j <= b.size(); ++j) {
       const auto above = row[j];
-      row[j] = std::min({row[j] + 1, row[j - 1] + 1, corner + (a[i - 1] == b[j - 1] ? 0 : 1)});
-      corner = above;
+      row[j] = std::min({row[j] + 1, row[j - 1] + 1, diagonal + (a[i - 1] == b[j - 1] ? 0 : 1)});
+      diagonal = above;
     }
   }
   return row.back();
 }
 
-std::string nearest(std::string_view path, std::span<const EntrySpec> table) {
+// The known group or entry whose name is most similar to `path`.
+std::string nearest_known_path(std::string_view path, std::span<const EntrySpec> table) {
   std::set<std::string> known;
   for (const auto& e : table) {
     known.emplace(e.path);
     known.emplace(e.path.substr(0, e.path.find('.')));
   }
   const auto best = std::min_element(known.begin(), known.end(), [&](const auto& a, const auto& b) {
-    return distance(path, a) < distance(path, b);
+    return levenshtein_distance(path, a) < levenshtein_distance(path, b);
   });
   return *best;
 }
 
-// Where each name stands, in order: INFO's tree has no lines.
-std::vector<std::pair<std::string, int>> places(std::string_view text) {
+// The path and line number of each name, in order of the text: the parsed INFO tree has no line numbers.
+std::vector<std::pair<std::string, int>> find_line_numbers(std::string_view text) {
   std::vector<std::pair<std::string, int>> found;
-  std::vector<std::string> open;
+  std::vector<std::string> open_groups;  // names of the groups around the current one
   std::string last;
   int number = 1;
   std::istringstream lines{std::string(text)};
@@ -269,18 +283,18 @@
         i = end;
       }
     }
-    bool name = true;
+    bool expect_name = true;  // the first word, and the first after a brace
     for (const auto& each : words) {
       if (each == "{") {
-        open.push_back(last);
-        name = true;
+        open_groups.push_back(last);
+        expect_name = true;
       } else if (each == "}") {
-        if (!open.empty()) open.pop_back();
-        name = true;
-      } else if (std::exchange(name, false)) {
+        if (!open_groups.empty()) open_groups.pop_back();
+        expect_name = true;
+      } else if (std::exchange(expect_name, false)) {
         last = each;
         std::string path;
-        for (const auto& above : open) path += above + ".";
+        for (const auto& group : open_groups) path += group + ".";
         found.emplace_back(path + each, number);
       }
     }
@@ -290,90 +304,97 @@
 
 using Tree = boost::property_tree::ptree;
 
-class Checker {
+// Checks a parsed file against a table of entries: collects its values and all its problems.
+class EntryChecker {
  public:
-  Checker(std::string_view text, std::span<const EntrySpec> table) : table_(table) {
-    for (const auto& [path, line] : places(text)) places_[path].push_back(line);
+  EntryChecker(std::string_view text, std::span<const EntrySpec> table) : table_(table) {
+    for (const auto& [path, line] : find_line_numbers(text)) lines_of_path_[path].push_back(line);
   }
 
-  void walk(const Tree& tree, const std::string& above) {
+  // Checks what `tree`, the group at path `parent`, contains.
+  void check(const Tree& tree, const std::string& parent) {
     for (const auto& [name, child] : tree) {
-      const auto path = above.empty() ? name : above + "." + name;
-      const auto line = take_place(path);
+      const auto path = parent.empty() ? name : parent + "." + name;
+      const auto line = take_line(path);
       const auto entry =
           std::find_if(table_.begin(), table_.end(), [&](const EntrySpec& e) { return e.path == path; });
       const auto group = std::any_of(table_.begin(), table_.end(),
                                      [&](const EntrySpec& e) { return e.path.starts_with(path + "."); });
       if (entry == table_.end() && !group) {
         problems.push_back(
-            {line, path, fmt::format("no such entry; the nearest is {}", nearest(path, table_))});
-      } else if (!seen_.insert(path).second) {
-        problems.push_back({line, path, "stands here a second time"});
+            {line, path, fmt::format("no such entry; did you mean {}?", nearest_known_path(path, table_))});
+      } else if (!seen_paths_.insert(path).second) {
+        problems.push_back({line, path, "is given a second time"});
       } else if (group) {
         if (!child.data().empty()) problems.push_back({line, path, "takes no value, only entries in braces"});
-        walk(child, path);
+        check(child, path);
       } else if (!child.empty()) {
-        problems.push_back({line, path, "takes a value, no entries of its own"});
-      } else if (const auto value = value_of(*entry, child.data())) {
+        problems.push_back({line, path, "takes a value, not entries in braces"});
+      } else if (const auto value = parse_value(*entry, child.data())) {
         values[path] = *value;
       } else {
-        problems.push_back({line, path, fmt::format("'{}' is not {}", child.data(), expected(*entry))});
+        problems.push_back({line, path, fmt::format("'{}' is not {}", child.data(), expected_value(*entry))});
       }
     }
   }
-  int place(const std::string& path) const {
-    const auto at = first_.find(path);
-    return at == first_.end() ? 0 : at->second;
+  // The line of the first occurrence of a path; 0: it does not occur.
+  int first_line(const std::string& path) const {
+    const auto at = first_line_.find(path);
+    return at == first_line_.end() ? 0 : at->second;
   }
 
   std::map<std::string, EntryValue> values;
   std::vector<FileProblem> problems;
 
  private:
-  int take_place(const std::string& path) {
-    auto& lines = places_[path];
+  // The line of the next occurrence of a path; 0: unknown.
+  int take_line(const std::string& path) {
+    auto& lines = lines_of_path_[path];
     if (lines.empty()) return 0;
     const auto line = lines.front();
     lines.erase(lines.begin());
-    first_.emplace(path, line);
+    first_line_.emplace(path, line);
     return line;
   }
   std::span<const EntrySpec> table_;
-  std::map<std::string, std::vector<int>> places_;
-  std::map<std::string, int> first_;
-  std::set<std::string> seen_;
+  std::map<std::string, std::vector<int>> lines_of_path_;
+  std::map<std::string, int> first_line_;
+  std::set<std::string> seen_paths_;
 };
 
-OperatorSettings fill(const std::map<std::string, EntryValue>& given) {
-  const auto of = [&](const char* path) {
+// The settings that the given values make, with the defaults of all others.
+OperatorSettings make_settings(const std::map<std::string, EntryValue>& given) {
+  const auto value = [&](const char* path) {
     if (const auto at = given.find(path); at != given.end()) return at->second;
     const auto entry = std::find_if(std::begin(kEntries), std::end(kEntries),
                                     [&](const EntrySpec& e) { return e.path == path; });
-    return value_of(*entry, std::string(entry->default_value)).value();
+    return parse_value(*entry, std::string(entry->default_value)).value();
   };
-  const auto bytes = [&](const char* path) { return static_cast<std::size_t>(of(path).number); };
-  const auto whole = [&](const char* path) { return static_cast<int>(of(path).number); };
-  const auto number = [&](const char* path) { return of(path).number; };
+  const auto bytes = [&](const char* path) { return static_cast<std::size_t>(value(path).number); };
+  const auto integer = [&](const char* path) { return static_cast<int>(value(path).number); };
+  const auto number = [&](const char* path) { return value(path).number; };
   OperatorSettings o;
-  o.log = {of("log.format").text == "json", of("log.level").text, bytes("log.queue")};
-  o.timeline = {number("timeline.on") > 0, bytes("timeline.memory"),   number("timeline.fine"),
-                whole("timeline.lines"),   of("timeline.listen").text, whole("timeline.readers"),
+  o.log = {value("log.format").text == "json", value("log.level").text, bytes("log.queue")};
+  o.timeline = {number("timeline.on") > 0, bytes("timeline.memory"),      number("timeline.fine"),
+                integer("timeline.lines"), value("timeline.listen").text, integer("timeline.readers"),
                 number("timeline.reports")};
-  o.segments = {of("segments.folder").text, bytes("segments.size"), bytes("segments.total"),
-                number("segments.age"), whole("segments.queue")};
+  o.segments = {value("segments.folder").text, bytes("segments.size"), bytes("segments.total"),
+                number("segments.age"), integer("segments.queue")};
   o.departures = {number("departures.on") > 0,  number("departures.slow"),   number("departures.stall"),
                   number("departures.least"),   number("departures.fails"),  number("departures.flaps"),
                   number("departures.reports"), number("departures.alarms"), number("departures.fleet"),
-                  whole("departures.most")};
-  o.sites = {number("sites.on") > 0, of("sites.evacuate").text, number("sites.over"), number("sites.until")};
-  o.fleet = {of("fleet.orders").text, number("fleet.longest"), number("fleet.alone") > 0,
-             number("fleet.share"), whole("fleet.intervals")};
+                  integer("departures.most")};
+  o.sites = {number("sites.on") > 0, value("sites.evacuate").text, number("sites.over"),
+             number("sites.until")};
+  o.fleet = {value("fleet.orders").text, number("fleet.longest"), number("fleet.alone") > 0,
+             number("fleet.share"), integer("fleet.intervals")};
   return o;
 }
 
-constexpr std::size_t kEventOnTheWay = 48;   // bytes, between the loop and the disk
-constexpr std::size_t kInterval = 2 * 1024;  // of versions, with what it holds of nodes
-constexpr std::size_t kReader = 96 * 1024;   // and of a reader of the time line
+// Memory that one of each takes.
+constexpr std::size_t kQueuedEventBytes = 48;            // an event that waits for the disk
+constexpr std::size_t kVersionIntervalBytes = 2 * 1024;  // with its data of nodes
+constexpr std::size_t kReaderBytes = 96 * 1024;          // a connection of a reader of the time line
 
 }  // namespace
 
@@ -382,9 +403,9 @@
   if (!timeline.enabled) return sum;
   sum += timeline.memory_bytes;
   if (!timeline.listen_address.empty())
-    sum += static_cast<std::size_t>(fleet.max_version_intervals) * kInterval;
-  if (!timeline.listen_address.empty()) sum += static_cast<std::size_t>(timeline.max_readers) * kReader;
-  if (!segments.folder.empty()) sum += static_cast<std::size_t>(segments.queue_events) * kEventOnTheWay;
+    sum += static_cast<std::size_t>(fleet.max_version_intervals) * kVersionIntervalBytes;
+  if (!timeline.listen_address.empty()) sum += static_cast<std::size_t>(timeline.max_readers) * kReaderBytes;
+  if (!segments.folder.empty()) sum += static_cast<std::size_t>(segments.queue_events) * kQueuedEventBytes;
   return sum;
 }
 
@@ -405,12 +426,12 @@
 
 namespace {
 
-// Problems of the whole text end it; those of entries are left in the checker.
-Checker walked(std::string_view text, std::span<const EntrySpec> table) {
-  if (text.size() > kLargestFile) throw InfoFileError({{0, "", "larger than 1 MiB"}});
-  Checker checker(text, table);
-  for (const auto& [path, line] : places(text))
-    if (path.starts_with('#')) throw InfoFileError({{line, "", "takes nothing in from other files"}});
+// Throws if the text as a whole cannot be parsed; problems of single entries are left in the checker.
+EntryChecker check_text(std::string_view text, std::span<const EntrySpec> table) {
+  if (text.size() > kMaxFileBytes) throw InfoFileError({{0, "", "larger than 1 MiB"}});
+  EntryChecker checker(text, table);
+  for (const auto& [path, line] : find_line_numbers(text))
+    if (path.starts_with('#')) throw InfoFileError({{line, "", "#include is not supported"}});
   Tree tree;
   try {
     std::istringstream in{std::string(text)};
@@ -418,11 +439,11 @@
   } catch (const boost::property_tree::info_parser_error& error) {
     throw InfoFileError({{static_cast<int>(error.line()), "", error.message()}});
   }
-  checker.walk(tree, "");
+  checker.check(tree, "");
   return checker;
 }
 
-[[noreturn]] void refuse(std::vector<FileProblem> problems) {
+[[noreturn]] void throw_in_line_order(std::vector<FileProblem> problems) {
   std::stable_sort(problems.begin(), problems.end(),
                    [](const FileProblem& a, const FileProblem& b) { return a.line < b.line; });
   throw InfoFileError(std::move(problems));
@@ -431,42 +452,43 @@
 }  // namespace
 
 std::map<std::string, EntryValue> parse_entries(std::string_view text, std::span<const EntrySpec> table) {
-  auto checker = walked(text, table);
-  if (!checker.problems.empty()) refuse(std::move(checker.problems));
+  auto checker = check_text(text, table);
+  if (!checker.problems.empty()) throw_in_line_order(std::move(checker.problems));
   return std::move(checker.values);
 }
 
 OperatorSettings parse_operator_settings(std::string_view text, std::size_t router_memory) {
-  auto checker = walked(text, kEntries);
+  auto checker = check_text(text, kEntries);
   auto& problems = checker.problems;
-  auto result = fill(checker.values);
-  std::string shared;
+  auto result = make_settings(checker.values);
+  std::string hashed;
   for (const auto& [path, value] : checker.values) {
     const auto entry = std::find_if(std::begin(kEntries), std::end(kEntries),
                                     [&](const EntrySpec& e) { return e.path == path; });
     if (entry->type != EntryType::endpoint && entry->type != EntryType::path)
-      shared += fmt::format("{}={}/{};", path, value.number, value.text);
+      hashed += fmt::format("{}={}/{};", path, value.number, value.text);
   }
-  result.hash = XXH3_64bits(shared.data(), shared.size());
-  // A router holds connections and queries beside it: half of the memory is theirs.
+  result.hash = XXH3_64bits(hashed.data(), hashed.size());
+  // Half of the memory is left for connections and queries.
   if (router_memory > 0 && result.memory_bytes() > router_memory / 2)
     problems.push_back(
-        {checker.place("timeline.memory"), "timeline.memory",
-         fmt::format("log, time line, readers and segments ask for {:.1f}MiB in all, more than half of "
+        {checker.first_line("timeline.memory"), "timeline.memory",
+         fmt::format("log, time line, readers and segments need {:.1f}MiB in total, more than half of "
                      "the {:.0f}MiB that the router may use",
                      static_cast<double>(result.memory_bytes()) / kMiB,
                      static_cast<double>(router_memory) / kMiB)});
   if (result.segments.total_bytes < 2 * result.segments.segment_bytes)
     problems.push_back(
-        {checker.place("segments.total"), "segments.total", "must hold two segments of segments.size"});
+        {checker.first_line("segments.total"), "segments.total", "must hold two segments of segments.size"});
   if (!result.sites.evacuated_site.empty() && result.sites.evacuation_end <= 0)
-    problems.push_back({checker.place("sites.evacuate"), "sites.until", "an evacuation needs its end"});
+    problems.push_back(
+        {checker.first_line("sites.evacuate"), "sites.until", "is required with sites.evacuate"});
   if (!result.timeline.enabled)
     for (const auto* path : {"timeline.listen", "timeline.reports", "segments.folder"})
       if (const auto at = checker.values.find(path);
           at != checker.values.end() && (at->second.number > 0 || !at->second.text.empty()))
-        problems.push_back({checker.place(path), path, "does nothing while timeline.on is no"});
-  if (!problems.empty()) refuse(std::move(problems));
+        problems.push_back({checker.first_line(path), path, "has no effect while timeline.on is no"});
+  if (!problems.empty()) throw_in_line_order(std::move(problems));
   return result;
 }
 
@@ -474,7 +496,7 @@
   std::ifstream file(path);
   std::stringstream content;
   content << file.rdbuf();
-  if (!file) throw InfoFileError({{0, "", path + " can't be read"}});
+  if (!file) throw InfoFileError({{0, "", path + " cannot be read"}});
   return parse_operator_settings(content.str(), router_memory);
 }
 
@@ -484,18 +506,18 @@
 
 std::string reference_page() {
   std::string page =
-      "# The operators' file: reference\n\nMade from the table in `src/operators/operators.cpp` by `yoketurn "
-      "check "
-      "--reference`. `yoketurn check FILE` tells all that is wrong with a file at once.\n";
+      "# The operators' file: reference\n\nGenerated from the table in `src/operators/operators.cpp` by "
+      "`yoketurn check --reference`. `yoketurn check FILE` lists all errors of a file at once.\n";
   std::string group;
   for (const auto& e : kEntries) {
     const auto head = e.path.substr(0, e.path.find('.'));
     if (head != group) {
       group = head;
-      page += fmt::format("\n## {}\n\n| entry | takes | default | what it is |\n| --- | --- | --- | --- |\n",
-                          group);
+      page +=
+          fmt::format("\n## {}\n\n| entry | value | default | meaning |\n| --- | --- | --- | --- |\n", group);
     }
-    page += fmt::format("| `{}` | {} | `{}` | {} |\n", e.path, expected(e), e.default_value, e.description);
+    page +=
+        fmt::format("| `{}` | {} | `{}` | {} |\n", e.path, expected_value(e), e.default_value, e.description);
   }
   return page;
 }
--- a/src/operators/operators.hpp
+++ b/src/operators/operators.hpp
@@ -82,58 +82,60 @@
 };
 
 enum class EntryType {
-  flag,
-  count,
-  percentage,
+  flag,        // yes or no: number is 1 or 0
+  count,       // whole number
+  percentage,  // such as 20%: number is 0.2
   decimal,
-  duration,
-  size,
-  choice,
-  endpoint,
-  path,
-  name,
-  timestamp
+  duration,  // number in seconds
+  size,      // number in bytes
+  choice,    // one of the words in `choices`: text
+  endpoint,  // host:port on loopback: text
+  path,      // absolute path: text
+  name,      // text
+  timestamp  // UTC: number is the Unix time, text as written
 };
 
+// One entry of an INFO file: which values it accepts, and its text in the reference page.
 struct EntrySpec {
-  std::string_view path;  // names from the top, set apart by dots
+  std::string_view path;  // names of its groups and its own, separated by dots
   EntryType type;
-  double min, max;           // of numbers, in the unit of the value; 0, 0: any
-  std::string_view choices;  // of a word, set apart by spaces
-  std::string_view default_value;
+  double min, max;                 // of a number, in the unit of its type; not checked for texts
+  std::string_view choices;        // separated by spaces
+  std::string_view default_value;  // as written in a file; if it is "off", "off" is accepted too
   std::string_view description;
 };
 
-std::span<const EntrySpec> entry_specs();
+std::span<const EntrySpec> entry_specs();  // of the operators' file
 
-// A value as it stands in a file.
+// The value of an entry; which of the fields holds it depends on the type. Both are empty for "off".
 struct EntryValue {
   double number = 0;
   std::string text;
 };
 
 struct FileProblem {
-  int line = 0;  // 0: of the whole
-  std::string path, what;
+  int line = 0;      // 0: concerns no single line
+  std::string path;  // of the entry; may be empty
+  std::string what;
 };
 std::string format_problem(const FileProblem& problem, std::string_view file);
 
+// An INFO file that is not accepted, with all problems that were found, at least one; what() gives the first.
 struct InfoFileError : std::runtime_error {
   explicit InfoFileError(std::vector<FileProblem> found);
   std::vector<FileProblem> problems;
 };
 
-// What stands in the text, by path, checked against another table; what is left out is not there.
-std::map<std::string, EntryValue> parse_entries(std::string_view text,
-                                                std::span<const EntrySpec> table);  // throws InfoFileError
+// The values that a text gives, by path, checked against `table`. Entries that it does not give are absent.
+// Throws InfoFileError.
+std::map<std::string, EntryValue> parse_entries(std::string_view text, std::span<const EntrySpec> table);
 
-// All of it or, with every problem there is, nothing. The memory that the router may use is in bytes; 0: not
-// known.
-OperatorSettings parse_operator_settings(std::string_view text,
-                                         std::size_t router_memory = 0);  // throws InfoFileError
+// Parse the operators' file: its values, and the defaults of all other entries. `router_memory` is the memory
+// that the router may use, in bytes; 0: unknown, and not checked. Throw InfoFileError with all problems.
+OperatorSettings parse_operator_settings(std::string_view text, std::size_t router_memory = 0);
 OperatorSettings load_operator_settings(const std::string& path, std::size_t router_memory = 0);
 OperatorSettings default_operator_settings();
 
-std::string reference_page();  // Markdown, of all entries
+std::string reference_page();  // all entries, as Markdown
 
 }  // namespace yoketurn
