--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -23,20 +23,20 @@
   double work = 0;  // hint, of a part
 };
 
-class Process : private Actions {
+class Process : private QueryActions {
  public:
   // What it does to the world.
   struct World {
     std::function<FlightRef(Process&, long long request, const Send&, int leaf, int call)> send;
     std::function<bool(FlightRef)> give_up;  // whether any byte of it had gone
     std::function<bool(FlightRef)> unsent;   // whether no byte of it has; it never will then
-    std::function<void(Process&, long long request, int status, double retry_after, const Why&, bool whole,
-                       const std::vector<int>& shards)>
+    std::function<void(Process&, long long request, int status, double retry_after, const Explanation&,
+                       bool whole, const std::vector<int>& shards)>
         answer;
     std::function<void(Process&, const SiteNews&)> believes;
     std::function<void(Process&, const Call&)> settled;
     // nullptr: the module does.
-    std::function<std::unique_ptr<Decisions>(std::uint64_t seed)> decide;
+    std::function<std::unique_ptr<RoutingPolicy>(std::uint64_t seed)> decide;
   };
   Process(Engine& engine, const Settings& settings, int number, std::uint64_t seed, bool plan,
           const World& world);
@@ -53,12 +53,12 @@
   std::uint32_t life() const { return life_; }
   long long query_of(long long request) const { return by_request_.at(request); }
   // What its agent tells it, or the configuration of its start; nothing where discovery is silent.
-  std::function<std::vector<Host>(bool known_last)> list;
+  std::function<std::vector<DiscoveredNode>(bool known_last)> list;
 
   void ask(const Request& request);
   void gone(long long request);  // its client has left
   void ended(long long query, int leaf, int call, Outcome outcome);
-  void told(std::vector<Host> hosts, bool complete);
+  void told(std::vector<DiscoveredNode> hosts, bool complete);
 
   static constexpr double kZero = 1000;  // its clock when the day begins: a start at 0 is long ago
 
@@ -66,7 +66,7 @@
   struct Part {
     int leaf, call;
     FlightRef flight;
-    DueTimes::Key due, by;
+    TimerQueue::Key due, by;
   };
   struct Held {
     long long request = 0;
@@ -86,7 +86,7 @@
   void arm();
   void tick(int chain);
   double now() const { return engine_.now() + kZero; }
-  void answer(long long query, int status, double retry_after, const Why& why, bool whole);
+  void answer(long long query, int status, double retry_after, const Explanation& why, bool whole);
   void timed_out(long long query, int leaf, int call);
   void withdraw(long long query, int leaf, int call);
   bool drop(long long query, int leaf, int call, FlightRef& flight);
@@ -94,10 +94,10 @@
   void send(long long query, const Send& send, int call) override;
   void cancel(long long query, const Cancel& cancel) override;
   void merge(long long query, bool whole) override;
-  void reject(long long query, double stay_away, const Why& why) override;
-  void abort(long long query, const Why& why) override;
-  void forget(long long query) override;
-  void ended(int vertical, const Call& call) override;
+  void reject(long long query, double stay_away, const Explanation& why) override;
+  void abort(long long query, const Explanation& why) override;
+  void release(long long query) override;
+  void on_call_ended(int vertical, const Call& call) override;
 
   Engine& engine_;
   const Settings& settings_;
@@ -105,7 +105,7 @@
   std::uint64_t seed_;
   bool plan_;
   const World& world_;
-  DueTimes due_;
+  TimerQueue due_;
   std::unique_ptr<Queries> queries_;
   std::uint32_t life_ = 0;
   bool ready_ = false, stopped_ = false, ending_ = false;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -56,7 +56,7 @@
           d.false_alarms_per_node_day,
           d.fleet_share,
           d.max_open,
-          settings.cold_time};
+          settings.slow_start_time};
 }
 
 // A load report's figures, whatever they are set apart by; nullopt: none that is known.
@@ -106,7 +106,7 @@
 }
 
 Act act_of(Reason reason) {
-  return reason == Reason::first ? Act::first : reason == Reason::copy ? Act::copy : Act::resent;
+  return reason == Reason::first_call ? Act::first : reason == Reason::copy ? Act::copy : Act::resent;
 }
 
 const char* name(Router::Phase phase) {
@@ -122,10 +122,10 @@
       config_(config),
       asked_(asked_of(config)),
       zones_(index_names(config.zones)),
-      unix_at_zero_(unix_at_zero()),
+      unix_at_zero_(unix_time_at_zero()),
       shutdown_(config.bounds.max_client_wait),
       still_(kReadsFirstAfter),
-      node_ages_(config.settings.cold_time),
+      node_ages_(config.settings.slow_start_time),
       standing_({config.name, site_of(config), config.verticals}, config.seed, now(), unix_at_zero_, log,
                 {[this] { watch_.ask_again(); }, [this] { reload(); },
                  [this](const asio::ip::tcp::endpoint& at) {
@@ -144,7 +144,7 @@
 
 // What ends connections may set due times, and the timer that waits for these ends first.
 Router::~Router() {
-  due_.on_earlier(nullptr);
+  due_.on_earlier_timer(nullptr);
 }
 
 void Router::start() {
@@ -170,7 +170,7 @@
   next_tick_ = now();
   figures_at_ = next_tick_ + kFigures;
   // What is read may set a time that comes before the next turn: a lost watch would be opened a tick later.
-  due_.on_earlier([this] {
+  due_.on_earlier_timer([this] {
     if (!in_turn_) arm();
   });
   tick();
@@ -279,7 +279,7 @@
                            evacuated_until_.told(WallTime{sites.evacuation_end}, WallTime::now(), began),
                            next_tick_ <= 0}));
   if (!operators.timeline.enabled) {
-    queries_.witness(nullptr);
+    queries_.set_observer(nullptr);
     recorder_.reset();
     segments_.reset();
     return;
@@ -289,8 +289,8 @@
                                   operators.timeline.max_nodes};
     recorder_ = std::make_unique<Recorder>(budget, departure_limits(operators, config_.settings),
                                            operators.departures.enabled,
-                                           static_cast<int>(config_.verticals.size()), began, unix_at_zero());
-    queries_.witness(recorder_.get());
+                                           static_cast<int>(config_.verticals.size()), began, unix_time_at_zero());
+    queries_.set_observer(recorder_.get());
     versions_at_ = 0;
   }
   if (same_segments) return;
@@ -300,7 +300,7 @@
     const auto& s = operators.segments;
     segments_ = std::make_unique<Segments>(
         SegmentLimits{s.folder, s.segment_bytes, s.total_bytes, s.max_age, s.queue_events}, config_.name,
-        unix_at_zero());
+        unix_time_at_zero());
     recorder_->timeline().also = [this](const Event& event) { segments_->event(event); };
     recorder_->timeline().also_line = [this](const Timeline::Line& line) { segments_->line(line); };
     for (const auto& line : recorder_->timeline().lines()) segments_->line(line);
@@ -357,15 +357,15 @@
                       0, at);
     before = now_at;
   };
-  bound(Bound::judged, queries_.unjudged(), unjudged_);
+  bound(Bound::judged, queries_.dropped_trace_entries(), unjudged_);
   bound(Bound::log, log_.lost(), lines_lost_);
-  for (const auto& [id, node] : nodes_) recorder_->believed(node, queries_.belief(node, at), at);
+  for (const auto& [id, node] : nodes_) recorder_->believed(node, queries_.node_health(node, at), at);
   if (segments_ && segments_->failures() > disk_failures_) {
     disk_failures_ = segments_->failures();
     log_.line("segment_failed", "why=\"{}\" folder=\"{}\"", segments_->trouble(),
               config_.operators.segments.folder);
   }
-  for (const auto& news : recorder_->tick(at, unix_at_zero())) {
+  for (const auto& news : recorder_->tick(at, unix_time_at_zero())) {
     const auto vertical =
         news.vertical == kNone ? "-" : config_.verticals[static_cast<std::size_t>(news.vertical)].c_str();
     log_.line(news.returned ? "returned" : "departed",
@@ -417,7 +417,7 @@
       recorder_->version(subject, standing_.versions().version(subject), standing_.versions().number(), at);
 }
 
-void Router::ended(int vertical, const Call& call) {
+void Router::on_call_ended(int vertical, const Call& call) {
   auto& versions = standing_.versions();
   if (call.outcome == Outcome::unsent || call.outcome == Outcome::unreachable)
     versions.unsent(vertical, call.node);
@@ -466,7 +466,7 @@
   const auto waits = reads_first(at);
   if (!waits) {
     observe(at);
-    next_tick_ = at + queries_.period();
+    next_tick_ = at + queries_.tick_interval();
     queries_.tick(at);  // the list is always followed: it need not be asked for
     tell_sites();
     tell_standing(at);
@@ -504,12 +504,12 @@
     if (held == held_.end()) continue;
     --calls_out_;
     if (news.outcome == Outcome::success) keep(held->second, news.ref.leaf, std::move(news.value));
-    queries_.outcome(news.ref.query, news.ref.leaf, news.ref.call, news.outcome, news.score, at);
+    queries_.on_outcome(news.ref.query, news.ref.leaf, news.ref.call, news.outcome, news.score, at);
   }
-  queries_.finish(at);
+  queries_.process_changes(at);
   if (!merged_first_.empty()) {
     for (const auto query : std::exchange(merged_first_, {})) take_second_step(query, at);
-    queries_.finish(at);
+    queries_.process_changes(at);
   }
   pool_.flush();
   wind_up(at);
@@ -520,7 +520,7 @@
 }
 
 void Router::arm() {
-  due_after(due_.next());
+  due_after(due_.next_due());
 }
 
 void Router::due_after(double next) {
@@ -572,13 +572,14 @@
   ++figures_.taken;
   Query q;
   q.vertical = ask.vertical;
-  q.expires = at + ask.remaining;
+  q.deadline = at + ask.remaining;
   // What comes so late must not be found without its answer by SIGKILL.
-  if (phase_ == Phase::draining) q.expires = std::min(q.expires, shutdown_.answers_by());
+  if (phase_ == Phase::draining) q.deadline = std::min(q.deadline, shutdown_.answers_by());
   q.client_retry = ask.client_retry;
   const auto no_room = open_ >= config_.bounds.max_in_progress;
-  if (no_room || standing_.bars(at)) q.barred = no_room ? Reason::no_room : Reason::shut_out;
-  for (const auto& target : ask.targets) q.work += target.work;
+  if (no_room || standing_.bars(at))
+    q.forced_rejection = no_room ? Reason::too_many_pending : Reason::router_refusing;
+  for (const auto& target : ask.targets) q.work_hint += target.work;
   auto& held = held_[number];
   held.client = connection;
   held.vertical = ask.vertical;
@@ -595,9 +596,9 @@
       recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::queries), open_,
                       config_.bounds.max_in_progress, at);
   }
-  queries_.take(number, std::move(q), at);
+  queries_.add_query(number, std::move(q), at);
   for (const auto& target : ask.targets) {
-    queries_.take_part(number, {target.shard, target.share, target.work, 1, false, {}}, at);
+    queries_.add_part(number, {target.shard, target.share, target.work, 1, false, {}}, at);
     held.parts.push_back({ask.id + "." + std::to_string(target.shard), target.shard, false, {}});
     ++open_;
   }
@@ -609,7 +610,7 @@
   if (at == by_client_.end()) return;
   ++figures_.left;
   const auto query = at->second;
-  queries_.gone(query);
+  queries_.abandon(query);
   done_with(query);
   wake();
 }
@@ -638,15 +639,15 @@
   auto& held = held_.at(query);
   ++held.calls;
   ++calls_out_;
-  standing_.versions().sent(held.vertical, act_of(send.why.reason), send.node, now());
+  standing_.versions().sent(held.vertical, act_of(send.explanation.reason), send.node, now());
   const auto leaf = static_cast<std::size_t>(send.leaf);
   const auto& part = held.parts[leaf];
   std::string options;
   if (!held.key.empty()) options += ",k=" + held.key;
   if (send.leaf >= held.second_from) options += held.first_step;
-  pool_.send(send.node, send.group,
+  pool_.send(send.node, send.batch,
              {{query, send.leaf, call}, part.id, part.shard, std::move(options), held.text}, send.timeout,
-             send.by);
+             send.max_send_delay);
 }
 
 void Router::cancel(long long query, const Cancel& cancel) {
@@ -669,21 +670,21 @@
   answer(query, 200, answer_body(whole, results));
 }
 
-void Router::reject(long long query, double stay_away, const Why& why) {
+void Router::reject(long long query, double stay_away, const Explanation& why) {
   ++figures_.rejected;
   standing_.versions().answered(held_.at(query).vertical, Act::rejected);
   tell_of("rejected", query, why);
   answer(query, 503, "rejected", stay_away);
 }
 
-void Router::abort(long long query, const Why& why) {
+void Router::abort(long long query, const Explanation& why) {
   ++figures_.aborted;
   standing_.versions().answered(held_.at(query).vertical, Act::aborted);
   tell_of("aborted", query, why);
   answer(query, 500, "aborted");
 }
 
-void Router::tell_of(std::string_view end, long long query, const Why& why) {
+void Router::tell_of(std::string_view end, long long query, const Explanation& why) {
   const auto& held = held_.at(query);
   const auto in =
       std::count_if(held.parts.begin(), held.parts.end(), [](const Part& part) { return part.in; });
@@ -695,14 +696,14 @@
       why.a, why.b, why.c);
 }
 
-void Router::forget(long long query) {
+void Router::release(long long query) {
   held_.erase(query);
 }
 
 void Router::take_second_step(long long query, double at) {
   if (!queries_.awaits_parts(query)) return;
   auto& held = held_.at(query);
-  const auto chosen = queries_.second_step(query);
+  const auto chosen = queries_.second_step_leaves(query);
   std::string from;
   for (const auto& part : held.parts)
     if (part.in) from += fmt::format("{}{}", from.empty() ? "" : "+", part.shard);
@@ -713,7 +714,7 @@
   for (const auto leaf : chosen) {
     const auto shard = held.parts[static_cast<std::size_t>(leaf)].shard;
     const auto weight = 1.0 / static_cast<double>(chosen.size());
-    queries_.take_part(query, {shard, weight, 0, 2, false, {}}, at);
+    queries_.add_part(query, {shard, weight, 0, 2, false, {}}, at);
     held.parts.push_back({fmt::format("{}.{}.p2", held.id, shard), shard, false, {}});
     ++open_;
   }
@@ -740,7 +741,7 @@
 void Router::listed(const MemberList& list) {
   members_.apply(list);
   standing_.listed(members_.list(), list.full, text_of(discovery_now_), now());
-  std::vector<Host> hosts;
+  std::vector<DiscoveredNode> hosts;
   std::set<int> present;
   std::size_t ready = 0;
   for (const auto& member : list.members) {
@@ -777,7 +778,7 @@
         pool_.leave(node);
         if (recorder_) recorder_->left(node, list.version, now());
       }
-  queries_.list(hosts, list.full, now());
+  queries_.update_nodes(hosts, list.full, now());
   log_.line("list", "version={} full={} entries={} ready={}", list.version, list.full, list.members.size(),
             ready);
   if (phase_ == Phase::starting && ready > 0) enter(Phase::serving);
@@ -806,7 +807,7 @@
   if (!news_.empty()) return;  // their queries have not been told of it yet
   std::erase_if(leaving_, [this](const auto& gone) {
     if (pool_.holds(gone.second)) return false;
-    queries_.forget_node(gone.second);
+    queries_.remove_node(gone.second);
     if (recorder_) recorder_->forgotten(gone.second, now());
     spare_.push_back(gone.second);
     node_ages_.left(gone.first);
@@ -817,7 +818,7 @@
 
 void Router::watch_lost() {
   standing_.versions().watch_lost(now());
-  queries_.list_failed(now());
+  queries_.on_node_list_failed(now());
 }
 
 void Router::watch_heard() {
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -66,13 +66,13 @@
 }
 
 void RouterInstance::on_node_list(std::string_view kind, const std::vector<NodeEntry>& entries, double now) {
-  if (kind == "lost") return queries_.list_failed(now);
+  if (kind == "lost") return queries_.on_node_list_failed(now);
   if (kind != "incr" && kind != "total" && kind != "warm_copy") throw_invalid_value("kind", kind);
-  std::vector<yoketurn::Host> hosts;
+  std::vector<DiscoveredNode> nodes;
   for (const auto& entry : entries)
-    hosts.push_back({node_index(entry.node), find_index(zones_, entry.zone), entry.cell, entry.status == 'U',
+    nodes.push_back({node_index(entry.node), find_index(zones_, entry.zone), entry.cell, entry.status == 'U',
                      entry.started_at});
-  queries_.list(hosts, kind != "incr", now, kind != "warm_copy");
+  queries_.update_nodes(nodes, kind != "incr", now, kind != "warm_copy");
 }
 
 void RouterInstance::on_request(FieldReader& fields, double now) {
@@ -81,7 +81,7 @@
   if (vertical == kNone) throw InputError("service: no such vertical");
   const auto customer = find_index(customers_, fields.word("realm"));
   fields.word("object");
-  const auto expires = fields.seconds("not_after_us", now);
+  const auto deadline = fields.seconds("not_after_us", now);
   const auto work = fields.seconds("effort_us", 0);
   const auto query = fields.integer("ask_no");
   const auto shard = fields.index("range_no");
@@ -89,22 +89,22 @@
   const auto marks = fields.integer("marks");
   const auto hint = (marks & kWorkHintMark) != 0 && work > 0 ? work : 0;
   if (shard >= 0) {
-    const auto leaf = queries_.take_part(query, {shard, weight, hint, 1, false, {}}, now);
+    const auto leaf = queries_.add_part(query, {shard, weight, hint, 1, false, {}}, now);
     if (leaf == kNone) return;
     leaf_of_part_id_[id] = {query, leaf};
     ids_of_query_[query].part_ids.push_back(id);
     return;
   }
-  if (queries_.holds(query)) throw InputError("ask_no: a query with this number is still in progress");
+  if (queries_.contains(query)) throw InputError("ask_no: a query with this number is still in progress");
   Query q;
   q.vertical = vertical;
   q.customer = customer;
-  q.expires = expires;
-  q.work = hint;
+  q.deadline = deadline;
+  q.work_hint = hint;
   q.client_retry = (marks & kClientRetryMark) != 0;
   query_of_request_id_[id] = query;
   ids_of_query_[query].request_id = id;
-  queries_.take(query, std::move(q), now);
+  queries_.add_query(query, std::move(q), now);
 }
 
 void RouterInstance::on_response(FieldReader& fields, double now) {
@@ -116,17 +116,17 @@
   fields.word("final");
   const auto at = leaf_of_part_id_.find(id);
   if (at == leaf_of_part_id_.end() || call < 0 || call > std::numeric_limits<int>::max()) return;
-  queries_.outcome(at->second.first, at->second.second, static_cast<int>(call), verdict, 0, now);
+  queries_.on_outcome(at->second.first, at->second.second, static_cast<int>(call), verdict, 0, now);
 }
 
 // Sends reports to all other routers (address -1).
-void RouterInstance::tell(const std::vector<Word>& words) {
-  for (std::size_t from = 0; from < words.size(); from += kMaxReportsPerMessage) {
+void RouterInstance::send_peer_reports(const std::vector<PeerReport>& reports) {
+  for (std::size_t from = 0; from < reports.size(); from += kMaxReportsPerMessage) {
     std::string raw;
-    for (auto i = from; i < std::min(words.size(), from + kMaxReportsPerMessage); ++i) {
-      const auto fingerprint = node_fingerprint(node_ids_[static_cast<std::size_t>(words[i].node)]);
+    for (auto i = from; i < std::min(reports.size(), from + kMaxReportsPerMessage); ++i) {
+      const auto fingerprint = node_fingerprint(node_ids_[static_cast<std::size_t>(reports[i].node)]);
       for (const auto shift : {16, 8, 0}) raw += static_cast<char>(fingerprint >> shift & 0xff);
-      raw += static_cast<char>(encode_latency(words[i].took));
+      raw += static_cast<char>(encode_latency(reports[i].latency));
     }
     write_message("announce", -1LL, encode_base64(raw).c_str());
   }
@@ -142,14 +142,14 @@
       fingerprint = fingerprint << 8 | static_cast<unsigned char>((*raw)[i + j]);
     const auto at = nodes_by_fingerprint_.find(fingerprint);
     if (at != nodes_by_fingerprint_.end())
-      queries_.hear({at->second, decode_latency(static_cast<unsigned char>((*raw)[i + kReportBytes - 1]))},
-                    now);
+      queries_.on_peer_report(
+          {at->second, decode_latency(static_cast<unsigned char>((*raw)[i + kReportBytes - 1]))}, now);
   }
 }
 
 void RouterInstance::on_client_gone(FieldReader& fields) {
   const auto at = query_of_request_id_.find(fields.integer("xid"));
-  if (at != query_of_request_id_.end()) queries_.gone(at->second);
+  if (at != query_of_request_id_.end()) queries_.abandon(at->second);
 }
 
 void RouterInstance::on_timer(std::string_view token, double now) {
@@ -172,13 +172,13 @@
 void RouterInstance::merge(long long query, bool whole) {
   write_message("answer", ids_of_query_.at(query).request_id, whole ? 1 : 0);
 }
-void RouterInstance::reject(long long query, double stay_away, const Why&) {
-  write_message("reject", ids_of_query_.at(query).request_id, to_microseconds(stay_away));
+void RouterInstance::reject(long long query, double retry_after, const Explanation&) {
+  write_message("reject", ids_of_query_.at(query).request_id, to_microseconds(retry_after));
 }
-void RouterInstance::abort(long long query, const Why&) {
+void RouterInstance::abort(long long query, const Explanation&) {
   write_message("respond_error", ids_of_query_.at(query).request_id);
 }
-void RouterInstance::forget(long long query) {
+void RouterInstance::release(long long query) {
   const auto& ids = ids_of_query_.at(query);
   query_of_request_id_.erase(ids.request_id);
   for (const auto id : ids.part_ids) leaf_of_part_id_.erase(id);
@@ -190,10 +190,10 @@
 }
 
 void RouterInstance::finish_batch(double now, std::string& reply) {
-  queries_.finish(now);
-  if (!tick_timer_set_) set_timer("tick", now + queries_.period(), now);
+  queries_.process_changes(now);
+  if (!tick_timer_set_) set_timer("tick", now + queries_.tick_interval(), now);
   tick_timer_set_ = true;
-  if (const auto next = timers_.next();
+  if (const auto next = timers_.next_due();
       timers_.size() > 0 && (wake_timer_at_ < 0 || next < wake_timer_at_ - kTimerTolerance)) {
     wake_timer_at_ = next;
     set_timer("due", wake_timer_at_, now);
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -23,7 +23,7 @@
   double started_at = 0;  // start time of its process, in seconds; 0: unknown
 };
 
-class RouterInstance : private Actions {
+class RouterInstance : private QueryActions {
  public:
   RouterInstance(std::string name, std::uint64_t seed, const SettingsMap& setup, double now);
 
@@ -52,13 +52,13 @@
   void send(long long query, const Send& send, int call) override;
   void cancel(long long query, const Cancel& cancel) override;
   void merge(long long query, bool whole) override;
-  void reject(long long query, double stay_away, const Why& why) override;
-  void abort(long long query, const Why& why) override;
-  void forget(long long query) override;
-  void tell(const std::vector<Word>& words) override;
+  void reject(long long query, double retry_after, const Explanation& why) override;
+  void abort(long long query, const Explanation& why) override;
+  void release(long long query) override;
+  void send_peer_reports(const std::vector<PeerReport>& reports) override;
 
   std::string name_;
-  DueTimes timers_;
+  TimerQueue timers_;
   Queries queries_;
   NameIndex verticals_, customers_, zones_;
   std::unordered_map<long long, int> node_indices_;  // by the simulator's id
