--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -287,9 +287,9 @@
   if (!same) {
     const Timeline::Budget budget{operators.timeline.memory_bytes, operators.timeline.event_share,
                                   operators.timeline.max_nodes};
-    recorder_ = std::make_unique<Recorder>(budget, departure_limits(operators, config_.settings),
-                                           operators.departures.enabled,
-                                           static_cast<int>(config_.verticals.size()), began, unix_time_at_zero());
+    recorder_ = std::make_unique<Recorder>(
+        budget, departure_limits(operators, config_.settings), operators.departures.enabled,
+        static_cast<int>(config_.verticals.size()), began, unix_time_at_zero());
     queries_.set_observer(recorder_.get());
     versions_at_ = 0;
   }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -152,12 +152,12 @@
   Settings s;
   const auto verticals = read_names(setup, "classes");
   if (verticals.empty()) throw InputError("setting classes.count is missing or 0");
-  const auto many = verticals.size();
-  const auto least = read.numbers("domain.min_share", many);
-  const auto whole = read.numbers("domain.whole_at", many);
-  const auto earns = read.numbers("domain.partial_earns", many);
-  const auto steps = read.numbers("domain.second_step", many);
-  for (std::size_t i = 0; i < many; ++i) {
+  const auto vertical_count = verticals.size();
+  const auto min_merge_shares = read.numbers("domain.min_share", vertical_count);
+  const auto complete_shares = read.numbers("domain.whole_at", vertical_count);
+  const auto partial_utilities = read.numbers("domain.partial_earns", vertical_count);
+  const auto second_step_parts = read.numbers("domain.second_step", vertical_count);
+  for (std::size_t i = 0; i < vertical_count; ++i) {
     const auto path = "classes." + std::to_string(i) + ".";
     Vertical v;
     v.slo_time = read.seconds(path + "aim_us");
@@ -166,10 +166,10 @@
     v.late_utility = read.number(path + "late_worth", 0);
     v.effect = parse_effect(required_setting(setup, path + "semantics"));
     if (v.effect == Effect::deduplicated) v.dedup_window = read.seconds(path + "window_us");
-    v.min_merge_share = least[i];
-    v.complete_share = whole[i];
-    v.partial_utility = earns[i];
-    v.second_step_parts = static_cast<int>(steps[i]);
+    v.min_merge_share = min_merge_shares[i];
+    v.complete_share = complete_shares[i];
+    v.partial_utility = partial_utilities[i];
+    v.second_step_parts = static_cast<int>(second_step_parts[i]);
     s.verticals.push_back(v);
   }
   const auto customers = read_names(setup, "customers");
