--- a/src/clients/http_messages.cpp
+++ b/src/clients/http_messages.cpp
@@ -76,7 +76,7 @@
   if (path.size() < 2 || path.front() != '/') throw BadRequest(400, "no such path");
   const auto name = path.substr(1, path.find('/', 1) - 1);
   QueryRequest query;
-  query.vertical = look_up(schema.verticals, name);
+  query.vertical = find_index(schema.verticals, name);
   if (query.vertical == kNone) throw BadRequest(404, "no such vertical");
   if (request.method() != http::verb::post) throw BadRequest(405, "a query is a POST");
   query.id = header_token(header(request, "X-Txn"), "X-Txn");
--- a/src/clients/http_messages.hpp
+++ b/src/clients/http_messages.hpp
@@ -44,7 +44,7 @@
 
 // What the verticals and shards in a request are checked against.
 struct QuerySchema {
-  Names verticals;
+  NameIndex verticals;
   std::vector<Effect> effects;  // by vertical
   int shards = 0;
 };
--- a/src/discovery/list.cpp
+++ b/src/discovery/list.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <limits>
 
-#include "settings/fields.hpp"
+#include "settings/json_fields.hpp"
 
 namespace yoketurn {
 
@@ -14,19 +14,19 @@
 
 Member parse_member(const json::value& value) {
   const auto* object = value.if_object();
-  if (object == nullptr) throw Malformed("member list: an entry of \"servers\" is not an object");
+  if (object == nullptr) throw InputError("member list: an entry of \"servers\" is not an object");
   Member member;
-  member.id = text_field(*object, "id");
-  const auto state = text_field(*object, "state");
+  member.id = string_field(*object, "id");
+  const auto state = string_field(*object, "state");
   member.removed = state == "gone";
   member.up = state == "ready";
-  if (!member.removed && !member.up && state != "draining") complain("state", state);
-  const auto addr = text_field(*object, "addr");
+  if (!member.removed && !member.up && state != "draining") throw_invalid_value("state", state);
+  const auto addr = string_field(*object, "addr");
   const auto endpoint = parse_endpoint(addr);
-  if (!endpoint) complain("addr", addr);
+  if (!endpoint) throw_invalid_value("addr", addr);
   member.endpoint = *endpoint;
-  member.zone = text_field(*object, "zone");
-  member.cell = number_field<int>(*object, "cell", 0, static_cast<int>(kLargestIndex));
+  member.zone = string_field(*object, "zone");
+  member.cell = number_field<int>(*object, "cell", 0, static_cast<int>(kMaxIndex));
   member.started_at = {number_field<double>(*object, "started_ms", 0, std::numeric_limits<double>::max()) /
                        1e3};
   return member;
@@ -49,17 +49,17 @@
 MemberList parse_member_list(const json::object& object) {
   MemberList list;
   list.version = number_field<long long>(object, "version", 0, std::numeric_limits<long long>::max());
-  const auto* full = field(object, "full").if_bool();
-  const auto* members = field(object, "servers").if_array();
+  const auto* full = required_field(object, "full").if_bool();
+  const auto* members = required_field(object, "servers").if_array();
   if (full == nullptr || members == nullptr)
-    throw Malformed("member list: \"full\" is not a boolean or \"servers\" is not an array");
+    throw InputError("member list: \"full\" is not a boolean or \"servers\" is not an array");
   list.full = *full;
   for (const auto& member : *members) list.members.push_back(parse_member(member));
   return list;
 }
 
 MemberList parse_member_list(std::string_view text) {
-  return parse_member_list(parse_object(text, "the member list"));
+  return parse_member_list(parse_json_object(text, "the member list"));
 }
 
 }  // namespace yoketurn
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -194,13 +194,13 @@
 
 void DiscoveryWatch::process_list(const boost::json::value& value) {
   try {
-    if (!value.is_object()) throw Malformed("the member list is not a JSON object");
+    if (!value.is_object()) throw InputError("the member list is not a JSON object");
     const auto list = parse_member_list(value.get_object());
     const auto* const source = connection_.get();
     accept_list(list);
     // The listener may have switched to another connection.
     if (connection_.get() == source) data_received();
-  } catch (const Malformed& error) {
+  } catch (const InputError& error) {
     reject_list(error.what());
   }
 }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -32,8 +32,9 @@
 std::size_t reserved_sockets(const Config& config) {
   const auto& timeline = config.operator_settings.timeline;
   return kReservedSockets +
-         (timeline.on
-              ? kTimelineSockets + (timeline.listen.empty() ? 0 : static_cast<std::size_t>(timeline.readers))
+         (timeline.enabled
+              ? kTimelineSockets +
+                    (timeline.listen_address.empty() ? 0 : static_cast<std::size_t>(timeline.max_readers))
               : 0);
 }
 
@@ -41,14 +42,22 @@
   return (config.max_sockets - reserved_sockets(config)) / kNodeDivisor;
 }
 
-Log::Options log_form(const Operators& operators) {
-  return {operators.log.json, spdlog::level::from_str(operators.log.level), operators.log.queue};
+Log::Options log_form(const OperatorSettings& operators) {
+  return {operators.log.json, spdlog::level::from_str(operators.log.level), operators.log.queue_bytes};
 }
 
-DepartureLimits departure_limits(const Operators& operators, const Settings& settings) {
+DepartureLimits departure_limits(const OperatorSettings& operators, const Settings& settings) {
   const auto& d = operators.departures;
-  return {d.slow,    d.stall,  d.least, d.fails, d.flaps,
-          d.reports, d.alarms, d.fleet, d.most,  settings.slow_start_time};
+  return {d.slow_latency_ratio,
+          d.stall_latency_ratio,
+          d.min_stall,
+          d.failure_share,
+          d.max_state_changes_per_minute,
+          d.load_report_max_age,
+          d.false_alarms_per_node_day,
+          d.fleet_share,
+          d.max_open,
+          settings.slow_start_time};
 }
 
 // The figures of a data node's load report.
@@ -64,7 +73,7 @@
     const auto at = pair.find_first_of("=:");
     if (at == std::string::npos) return std::nullopt;
     const auto name = std::string_view(pair).substr(0, at);
-    const auto value = to_number(std::string_view(pair).substr(at + 1));
+    const auto value = parse_number(std::string_view(pair).substr(at + 1));
     if (!value) return std::nullopt;
     if (name == "inflight") report.in_flight = *value;
     if (name == "queue") report.queue = *value;
@@ -74,13 +83,13 @@
   return known ? std::optional(report) : std::nullopt;
 }
 
-NodeConnection::Limits node_limits(const Bounds& bounds) {
-  return {static_cast<std::size_t>(bounds.parts_a_connection), static_cast<std::size_t>(bounds.parts_a_call),
-          bounds.connect_timeout, bounds.idle_timeout};
+NodeConnection::Limits node_limits(const ConnectionLimits& bounds) {
+  return {static_cast<std::size_t>(bounds.max_parts_per_connection),
+          static_cast<std::size_t>(bounds.max_parts_per_call), bounds.connect_timeout, bounds.idle_timeout};
 }
 
 QuerySchema make_query_schema(const Config& config) {
-  QuerySchema schema{index(config.verticals), {}, config.connection_limits.shards};
+  QuerySchema schema{index_names(config.verticals), {}, config.connection_limits.shard_count};
   for (const auto& vertical : config.settings.verticals) schema.effects.push_back(vertical.effect);
   return schema;
 }
@@ -115,9 +124,9 @@
       log_(log),
       config_(config),
       query_schema_(make_query_schema(config)),
-      zones_(index(config.zones)),
+      zones_(index_names(config.zones)),
       unix_at_zero_(unix_time_at_zero()),
-      shutdown_(config.connection_limits.longest_wait),
+      shutdown_(config.connection_limits.max_client_wait),
       standstill_(kMinStandstillSeconds),
       node_ages_(config.settings.slow_start_time),
       version_reporter_({config.name, own_site(config), config.verticals}, config.seed, now(), unix_at_zero_,
@@ -243,53 +252,53 @@
 // --- the timeline
 
 // All that can fail comes first, before anything is changed.
-void Router::apply_operators(const Operators& operators) {
+void Router::apply_operators(const OperatorSettings& operators) {
   const auto& before = config_.operator_settings;
-  const auto same_recorder = recorder_ && operators.timeline.memory == before.timeline.memory &&
-                             operators.timeline.fine == before.timeline.fine &&
-                             operators.timeline.lines == before.timeline.lines &&
+  const auto same_recorder = recorder_ && operators.timeline.memory_bytes == before.timeline.memory_bytes &&
+                             operators.timeline.event_share == before.timeline.event_share &&
+                             operators.timeline.max_nodes == before.timeline.max_nodes &&
                              operators.departures == before.departures;
-  const auto listen = operators.timeline.on && !operators.timeline.listen.empty()
-                          ? parse_endpoint(operators.timeline.listen)
+  const auto listen = operators.timeline.enabled && !operators.timeline.listen_address.empty()
+                          ? parse_endpoint(operators.timeline.listen_address)
                           : std::nullopt;
-  if (operators.timeline.on && !operators.timeline.listen.empty() && !listen)
-    throw Malformed("timeline.listen is not an IP address and port");
+  if (operators.timeline.enabled && !operators.timeline.listen_address.empty() && !listen)
+    throw InputError("timeline.listen is not an IP address and port");
   const auto& sites = operators.sites;
-  if (!sites.evacuate.empty() && look_up(zones_, sites.evacuate) == kNone)
-    throw Malformed("sites.evacuate: there is no site " + sites.evacuate);
+  if (!sites.evacuated_site.empty() && find_index(zones_, sites.evacuated_site) == kNone)
+    throw InputError("sites.evacuate: there is no site " + sites.evacuated_site);
   std::unique_ptr<TimelineServer> server;
-  const auto listen_changed = !server_ || operators.timeline.listen != before.timeline.listen;
+  const auto listen_changed = !server_ || operators.timeline.listen_address != before.timeline.listen_address;
   if (listen && listen_changed)
     server = std::make_unique<TimelineServer>(
-        context_, timers_, *listen, operators.timeline.readers,
+        context_, timers_, *listen, operators.timeline.max_readers,
         [this] { return recorder_ ? &recorder_->timeline() : nullptr; },
         [this] { return version_reporter_.view(); });
   if (!listen || server) server_ = std::move(server);
-  if (server_) server_->bound(operators.timeline.readers);
+  if (server_) server_->bound(operators.timeline.max_readers);
   // Stopping the segment writer waits for its disk, so keep it if none of its settings change.
   const auto same_segments = same_recorder && operators.segments == before.segments;
   config_.operator_settings = operators;
   const auto applied_at = now();
   version_reporter_.configure(operators.fleet, server_ != nullptr);
-  queries_.sites().on(sites.on);
+  queries_.sites().on(sites.enabled);
   queries_.sites().evacuate(
-      sites.evacuate.empty()
+      sites.evacuated_site.empty()
           ? std::nullopt
-          : std::optional(
-                Evacuation{look_up(zones_, sites.evacuate), applied_at, sites.over,
-                           evacuated_until_.to_monotonic(WallTime{sites.until}, WallTime::now(), applied_at),
-                           next_tick_at_ <= 0}));
-  if (!operators.timeline.on) {
+          : std::optional(Evacuation{
+                find_index(zones_, sites.evacuated_site), applied_at, sites.evacuation_ramp,
+                evacuated_until_.to_monotonic(WallTime{sites.evacuation_end}, WallTime::now(), applied_at),
+                next_tick_at_ <= 0}));
+  if (!operators.timeline.enabled) {
     queries_.set_observer(nullptr);
     recorder_.reset();
     segments_.reset();
     return;
   }
   if (!same_recorder) {
-    const Timeline::Budget budget{operators.timeline.memory, operators.timeline.fine,
-                                  operators.timeline.lines};
+    const Timeline::Budget budget{operators.timeline.memory_bytes, operators.timeline.event_share,
+                                  operators.timeline.max_nodes};
     recorder_ = std::make_unique<Recorder>(
-        budget, departure_limits(operators, config_.settings), operators.departures.on,
+        budget, departure_limits(operators, config_.settings), operators.departures.enabled,
         static_cast<int>(config_.verticals.size()), applied_at, unix_time_at_zero());
     queries_.set_observer(recorder_.get());
     next_version_events_at_ = 0;
@@ -299,8 +308,9 @@
   last_segment_failures_ = 0;
   if (!operators.segments.folder.empty()) {
     const auto& s = operators.segments;
-    segments_ = std::make_unique<Segments>(SegmentLimits{s.folder, s.size, s.total, s.age, s.queue},
-                                           config_.name, unix_time_at_zero());
+    segments_ = std::make_unique<Segments>(
+        SegmentLimits{s.folder, s.segment_bytes, s.total_bytes, s.max_age, s.queue_events}, config_.name,
+        unix_time_at_zero());
     recorder_->timeline().also = [this](const Event& event) { segments_->event(event); };
     recorder_->timeline().also_line = [this](const Timeline::Line& line) { segments_->line(line); };
     for (const auto& line : recorder_->timeline().lines()) segments_->line(line);
@@ -326,15 +336,15 @@
 bool Router::reload_operators() {
   if (config_.operators_path.empty()) return true;
   try {
-    const auto loaded = load_operators(config_.operators_path, config_.memory_bytes);
+    const auto loaded = load_operator_settings(config_.operators_path, config_.memory_bytes);
     apply_operators(loaded);
     version_reporter_.set_file_version(Subject::operators, loaded.hash, config_.operators_path, now());
     log_.configure(log_form(loaded));
     log_.line("operators_reloaded", "path=\"{}\"", config_.operators_path);
     return true;
-  } catch (const BadOperators& bad) {
+  } catch (const InfoFileError& bad) {
     for (const auto& problem : bad.problems)
-      log_.line("operators_kept", "why=\"{}\"", to_text(problem, config_.operators_path));
+      log_.line("operators_kept", "why=\"{}\"", format_problem(problem, config_.operators_path));
   } catch (const std::exception& error) {
     log_.line("operators_kept", "why=\"{}\"", error.what());
   }
@@ -374,7 +384,7 @@
               why_name(What::departed, static_cast<std::uint8_t>(change.kind)), vertical,
               change.began + unix_at_zero_, change.evidence, change.usual);
   }
-  if (const auto every = config_.operator_settings.timeline.reports;
+  if (const auto every = config_.operator_settings.timeline.load_report_interval;
       every > 0 && at >= next_load_request_at_) {
     next_load_request_at_ = at + every;
     pool_.request_loads();
@@ -408,7 +418,7 @@
   if (lost)
     for (const auto& member : members_.list().members) {
       const auto node = node_numbers_.find(member.id);
-      const auto belief = queries_.sites().belief(look_up(zones_, member.zone));
+      const auto belief = queries_.sites().belief(find_index(zones_, member.zone));
       if (node == node_numbers_.end() || (belief != SiteBelief::lost && belief != SiteBelief::cut_off))
         continue;
       nodes_in_lost_sites_.resize(
@@ -586,7 +596,7 @@
   // A query that arrives this late must be answered before SIGKILL.
   if (phase_ == Phase::draining) query.deadline = std::min(query.deadline, shutdown_.answer_deadline());
   query.client_retry = request.client_retry;
-  const auto no_room = open_count_ >= config_.connection_limits.max_open;
+  const auto no_room = open_count_ >= config_.connection_limits.max_in_progress;
   if (no_room || version_reporter_.rejects_new_query(at))
     query.forced_rejection = no_room ? Reason::too_many_pending : Reason::router_refusing;
   for (const auto& target : request.targets) query.work_hint += target.work;
@@ -604,7 +614,7 @@
     recorder_->taken(number, request.id, request.vertical, at);
     if (no_room)
       recorder_->loop(What::at_bound, static_cast<std::uint8_t>(Bound::queries), open_count_,
-                      config_.connection_limits.max_open, at);
+                      config_.connection_limits.max_in_progress, at);
   }
   queries_.add_query(number, std::move(query), at);
   for (const auto& target : request.targets) {
@@ -764,7 +774,7 @@
       continue;
     }
     const auto started = started_at(member);
-    hosts.push_back({node, look_up(zones_, member.zone), member.cell, member.up, started});
+    hosts.push_back({node, find_index(zones_, member.zone), member.cell, member.up, started});
     present.insert(node);
     version_reporter_.set_member(node, member);
     if (recorder_) {
--- a/src/router/router.hpp
+++ b/src/router/router.hpp
@@ -118,7 +118,7 @@
   void release_node_numbers();
 
   // Applies the operators' settings. Throws if that isn't possible; nothing has changed then.
-  void apply_operators(const Operators& operators);
+  void apply_operators(const OperatorSettings& operators);
   void record_known_nodes(double at);
   void record_loop_events(double at);
   void update_sites();
@@ -147,7 +147,7 @@
   Log& log_;
   Config config_;
   QuerySchema query_schema_;
-  Names zones_;
+  NameIndex zones_;
   double unix_at_zero_;  // Unix time at the zero of the monotonic clock
   WallDeadline evacuated_until_;
   Phase phase_ = Phase::starting;
--- a/src/router/version_reporter.cpp
+++ b/src/router/version_reporter.cpp
@@ -53,12 +53,13 @@
       versions_({}, static_cast<int>(identity_.verticals.size()), now),
       service_({}, identity_.router, seed) {}
 
-void VersionReporter::configure(const Operators::Fleet& fleet, bool has_readers) {
-  const auto intervals = has_readers ? static_cast<std::size_t>(fleet.intervals) : kIntervalsWithoutReaders;
+void VersionReporter::configure(const OperatorSettings::FleetSettings& fleet, bool has_readers) {
+  const auto intervals =
+      has_readers ? static_cast<std::size_t>(fleet.max_version_intervals) : kIntervalsWithoutReaders;
   versions_.bound({intervals, intervals * kMeanNodesPerInterval});
-  service_.limit({fleet.alone, fleet.share, fleet.longest});
-  if (orders_folder_ != fleet.orders) last_order_file_.clear();
-  orders_folder_ = fleet.orders;
+  service_.limit({fleet.act_without_orders, fleet.step_aside_share, fleet.max_order_duration});
+  if (orders_folder_ != fleet.orders_folder) last_order_file_.clear();
+  orders_folder_ = fleet.orders_folder;
 }
 
 void VersionReporter::set_file_version(Subject subject, std::uint64_t hash, std::string_view source,
@@ -147,7 +148,7 @@
   last_order_file_ = file_id;
   try {
     if (static_cast<std::size_t>(status.st_size) > kMaxOrderBytes)
-      throw BadOperators({{0, "", "order file is larger than 64 KiB"}});
+      throw InfoFileError({{0, "", "order file is larger than 64 KiB"}});
     std::ifstream file(path);
     std::stringstream content;
     content << file.rdbuf();
--- a/src/router/version_reporter.hpp
+++ b/src/router/version_reporter.hpp
@@ -40,7 +40,7 @@
                   Callbacks callbacks);
 
   // has_readers: whether anything can read the intervals; without readers only a few are kept.
-  void configure(const Operators::Fleet& fleet, bool has_readers);
+  void configure(const OperatorSettings::FleetSettings& fleet, bool has_readers);
   void set_file_version(Subject subject, std::uint64_t hash, std::string_view source, double now);
   // full: discovery sent the whole list, not a change to it.
   void set_list(const MemberList& whole, bool full, const std::string& source, double now);
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -224,7 +224,7 @@
     CAPTURE(to);
     auto invalid = valid;
     invalid.replace(invalid.find(from), std::string(from).size(), to);
-    CHECK_THROWS_AS(parse_member_list(invalid), Malformed);
+    CHECK_THROWS_AS(parse_member_list(invalid), InputError);
   }
 }
 
@@ -240,13 +240,13 @@
   CHECK(config.settings.customers.empty());
   CHECK(config.settings.max_retry_after == 0.5);
   CHECK(config.connection_limits.idle_timeout == 15);
-  CHECK(config.connection_limits.max_open == 200);
-  const auto wire = pairs("a=1 classes.count=1 classes.0.name=look");
-  CHECK(names(wire, "classes") == std::vector<std::string>{"look"});
+  CHECK(config.connection_limits.max_in_progress == 200);
+  const auto wire = parse_settings_text("a=1 classes.count=1 classes.0.name=look");
+  CHECK(read_names(wire, "classes") == std::vector<std::string>{"look"});
 }
 
 TEST_CASE("a configuration that is missing or invalid is refused") {
-  CHECK_THROWS_AS(load_config("/nonexistent/config.json"), Malformed);
+  CHECK_THROWS_AS(load_config("/nonexistent/config.json"), InputError);
   const std::pair<const char*, const char*> invalid_replacements[] = {
       {"{", "["},
       {"\"seed\":\"8c", "\"seed\":\"zz"},
@@ -261,7 +261,7 @@
     CAPTURE(to);
     auto invalid = valid_config();
     invalid.replace(invalid.find(from), std::string(from).size(), to);
-    CHECK_THROWS_AS(parse_config(invalid), Malformed);
+    CHECK_THROWS_AS(parse_config(invalid), InputError);
   }
 }
 
--- a/tests/queries_test.cpp
+++ b/tests/queries_test.cpp
@@ -162,8 +162,8 @@
   const char* verticals[] = {"look", "change", "book"};
   struct Recorder : QueryActions {
     void send(long long query, const Send& send, int call) override {
-      actions_log +=
-          fmt::format("place {} {} {}\n", query * 10 + send.leaf, wire::micros(send.timeout), send.node);
+      actions_log += fmt::format("place {} {} {}\n", query * 10 + send.leaf,
+                                 wire::to_microseconds(send.timeout), send.node);
       pending_calls.push_back({query, send.leaf, send.node, call});
     }
     void cancel(long long query, const Cancel& cancel) override {
@@ -173,7 +173,7 @@
       actions_log += fmt::format("answer {} {:d}\n", query * 10 + 9, complete);
     }
     void reject(long long query, double retry_after, const Explanation&) override {
-      actions_log += fmt::format("reject {} {}\n", query * 10 + 9, wire::micros(retry_after));
+      actions_log += fmt::format("reject {} {}\n", query * 10 + 9, wire::to_microseconds(retry_after));
     }
     void abort(long long query, const Explanation&) override {
       actions_log += fmt::format("respond_error {}\n", query * 10 + 9);
@@ -189,7 +189,7 @@
 
   Recorder recorder;
   TimerQueue timers;
-  Queries queries(settings(pairs(setup)), 77, 1, timers, recorder);
+  Queries queries(read_settings(parse_settings_text(setup)), 77, 1, timers, recorder);
   const DiscoveredNode nodes[] = {{0, 0, 0, true, 0}, {1, 0, 1, true, 0}, {2, 1, 2, true, 0}};
   queries.update_nodes(nodes, true, 1);
   std::string wire_input = "frame 1000000 1\nopen_instance router-0 77 " + setup +
@@ -227,7 +227,7 @@
       if (call.node == round / 40 % 4) continue;
       wire_input += fmt::format("response router-0 {} {} {} {} 1 1 -\n", call.query * 10 + call.leaf,
                                 call.call, call.node, outcome_word);
-      queries.on_outcome(call.query, call.leaf, call.call, wire::outcome(outcome_word), 0, at);
+      queries.on_outcome(call.query, call.leaf, call.call, wire::parse_outcome(outcome_word), 0, at);
     }
     if (round % 50 == 0) {
       wire_input += fmt::format("gone router-0 {}\n", (round - round % 3) * 10 + 9);
@@ -238,7 +238,7 @@
   }
   std::istringstream in(wire_input);
   std::ostringstream output, log;
-  wire::Host().run(in, output, log);
+  wire::InstanceHost().run(in, output, log);
   std::string actions_log, line;
   for (std::istringstream lines(output.str()); std::getline(lines, line);) {
     if (line.starts_with("end ") || line.starts_with("notify_me ")) continue;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -727,7 +727,7 @@
     std::string error_text;
     try {
       parse_config(bad);
-    } catch (const Malformed& error) {
+    } catch (const InputError& error) {
       error_text = error.what();
     }
     CHECK(error_text.starts_with(row.why));
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -192,7 +192,7 @@
     return all_replies;
   }
 
-  wire::Host host;
+  wire::InstanceHost host;
   std::ostringstream log;
   std::mt19937 random_engine{20};
   long long clock = 1'000'000, next_query_index = 0, outcomes = 0;
