--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -26,7 +26,7 @@
   if (!decisions) decisions = std::make_unique<Brain>(settings_, seed, now());
   Actions& actions = *this;
   queries_ = std::make_unique<Queries>(std::move(decisions), settings_, seed, due_, actions);
-  queries_->sites().on(plan_);
+  queries_->sites().set_enabled(plan_);
   ready_ = stopped_ = ending_ = false;
   armed_ = -1;
   if (const auto known = list(true); !known.empty()) queries_->list(known, true, now(), false);
@@ -94,7 +94,7 @@
       queries_->outcome(news.query, news.leaf, news.call, news.outcome, 0, now());
     queries_->finish(now());
   }
-  for (const auto& news : queries_->sites().news()) world_.believes(*this, news);
+  for (const auto& news : queries_->sites().take_changes()) world_.believes(*this, news);
   arm();
 }
 
--- a/src/emulator/process.hpp
+++ b/src/emulator/process.hpp
@@ -33,7 +33,7 @@
     std::function<void(Process&, long long request, int status, double retry_after, const Why&, bool whole,
                        const std::vector<int>& shards)>
         answer;
-    std::function<void(Process&, const SiteNews&)> believes;
+    std::function<void(Process&, const SiteHealthChange&)> believes;
     std::function<void(Process&, const Call&)> settled;
     // nullptr: the module does.
     std::function<std::unique_ptr<Decisions>(std::uint64_t seed)> decide;
--- a/src/emulator/town.cpp
+++ b/src/emulator/town.cpp
@@ -99,7 +99,7 @@
                          bool whole, const std::vector<int>& shards) {
     answered(from, request, status, retry_after, why, whole, shards);
   };
-  world_.believes = [this](Process& process, const SiteNews& news) { believes(process, news); };
+  world_.believes = [this](Process& process, const SiteHealthChange& news) { believes(process, news); };
   world_.settled = [this](Process&, const Call& call) {
     auto& m = moment();
     ++played_.settled;
@@ -238,18 +238,18 @@
   });
 }
 
-void Town::believes(Process& process, const SiteNews& news) {
+void Town::believes(Process& process, const SiteHealthChange& news) {
   const auto router = static_cast<std::size_t>(process.number());
   const auto site = static_cast<std::size_t>(news.site);
-  const auto lost = news.now == SiteBelief::lost || news.now == SiteBelief::cut_off;
+  const auto lost = news.current == SiteHealth::lost || news.current == SiteHealth::cut_off;
   holds_lost_[router][site] = lost;
-  played_.beliefs.push_back({process.number(), news.site, engine_.now(), news.now});
+  played_.beliefs.push_back({process.number(), news.site, engine_.now(), news.current});
   if (!options_.record) return;
   static constexpr std::string_view kStates[] = {"sound",   "doubted",   "lost",
                                                  "cut_off", "returning", "evacuated"};
   const auto text = fmt::format("name={} state={} before={} bad={} evidence={:.1f}", day_.sites[site].name,
-                                kStates[static_cast<std::size_t>(news.now)],
-                                kStates[static_cast<std::size_t>(news.before)], news.bad, news.evidence);
+                                kStates[static_cast<std::size_t>(news.current)],
+                                kStates[static_cast<std::size_t>(news.previous)], news.failing_nodes, news.evidence);
   note({.at = engine_.now(), .kind = Kind::site, .router = process.number(), .text = text});
 }
 
--- a/src/emulator/town.hpp
+++ b/src/emulator/town.hpp
@@ -44,7 +44,7 @@
   struct Belief {
     int router, site;
     double at;
-    SiteBelief now;
+    SiteHealth now;
   };
   std::vector<Belief> beliefs;
   double most_pushed = 0;
@@ -103,7 +103,7 @@
   FlightRef send(Process& from, long long request, const Send& send, int leaf, int call);
   void answered(Process& from, long long request, int status, double retry_after, const Why& why, bool whole,
                 const std::vector<int>& shards);
-  void believes(Process& process, const SiteNews& news);
+  void believes(Process& process, const SiteHealthChange& news);
   void end(int router, const char* how);
   void start(int router);
 
--- a/src/fleet/best.hpp
+++ b/src/fleet/best.hpp
@@ -7,6 +7,6 @@
 namespace yoketurn::fleet {
 
 // Utility a second; throws std::runtime_error where the programme can't be solved.
-double best_utility(const PlannedTown& town, const PlannedLoss& loss);
+double best_utility(const PlannedCluster& town, const SiteLossForecast& loss);
 
 }  // namespace yoketurn::fleet
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -40,7 +40,7 @@
 }
 
 // loads: capacity, parts a second a node; a vertical with its rate, queries a second, and its parts.
-void read_loads(const std::string& path, const Config& config, PlannedTown& town) {
+void read_loads(const std::string& path, const Config& config, PlannedCluster& town) {
   boost::property_tree::ptree tree;
   std::istringstream in(content_of(path));
   try {
@@ -66,7 +66,7 @@
         const auto& vertical =
             config.settings.verticals[static_cast<std::size_t>(known - config.verticals.begin())];
         town.loads.push_back({name, entry("rate"), static_cast<int>(entry("parts")), vertical.utility});
-        if (town.loads.back().parts > town.shards)
+        if (town.loads.back().parts_per_query > town.shard_count)
           throw std::runtime_error(at + "parts: more than there are shards");
       }
     } else {
@@ -75,39 +75,39 @@
   }
   if (capacity <= 0) throw std::runtime_error(path + ": capacity: is missing");
   if (town.loads.empty()) throw std::runtime_error(path + ": verticals: there is none");
-  for (auto& node : town.nodes) node.capacity = capacity;
+  for (auto& node : town.nodes) node.parts_per_second = capacity;
 }
 
 struct Row {
-  PlannedLoss loss;
+  SiteLossForecast loss;
   std::string name;
   double best = 0;
 };
 
-std::string to_json(const std::vector<Row>& rows, const PlannedTown& town) {
+std::string to_json(const std::vector<Row>& rows, const PlannedCluster& town) {
   json::array all;
   for (const auto& row : rows) {
     json::object o;
     o["lost"] = row.name;
-    o["unheld"] = json::value_from(row.loss.unheld);
-    o["most_strain"] = row.loss.most_strain;
-    o["strain"] = json::value_from(row.loss.strain);
+    o["unheld"] = json::value_from(row.loss.unavailable_shards);
+    o["most_strain"] = row.loss.max_node_utilization;
+    o["strain"] = json::value_from(row.loss.shard_utilization);
     json::object verticals;
     for (std::size_t v = 0; v < town.loads.size(); ++v)
       verticals[town.loads[v].vertical] =
-          json::object{{"out_of_reach", row.loss.out_of_reach[v]}, {"refused", row.loss.refused[v]}};
+          json::object{{"out_of_reach", row.loss.unreachable_share[v]}, {"refused", row.loss.rejected_share[v]}};
     o["verticals"] = verticals;
-    o["utility"] = row.loss.utility;
+    o["utility"] = row.loss.served_utility;
     o["best"] = row.best;
-    o["asked"] = row.loss.whole;
-    o["warm_return"] = row.loss.warm_return;
-    o["cold_return"] = row.loss.cold_return;
+    o["asked"] = row.loss.offered_utility;
+    o["warm_return"] = row.loss.warm_recovery_seconds;
+    o["cold_return"] = row.loss.cold_recovery_seconds;
     all.push_back(o);
   }
   return json::serialize(all);
 }
 
-void draw(const std::string& path, const std::vector<Row>& rows, const PlannedTown& town) {
+void draw(const std::string& path, const std::vector<Row>& rows, const PlannedCluster& town) {
   const std::unique_ptr<std::FILE, int (*)(std::FILE*)> gnuplot(::popen("gnuplot", "w"), ::pclose);
   if (!gnuplot) throw std::runtime_error("gnuplot can't be started");
   std::string script =
@@ -123,7 +123,7 @@
   for (std::size_t v = 0; v < town.loads.size(); ++v) {
     for (const auto& row : rows)
       script += fmt::format("\"{}\" {:.4f}\n", row.name,
-                            (1 - row.loss.out_of_reach[v]) * (1 - row.loss.refused[v]));
+                            (1 - row.loss.unreachable_share[v]) * (1 - row.loss.rejected_share[v]));
     script += "e\n";
   }
   std::fputs(script.c_str(), gnuplot.get());
@@ -134,11 +134,11 @@
   auto list = config.known;
   if (!o.list.empty()) list = read_list(content_of(o.list));
   const auto zones = index(config.zones);
-  PlannedTown town;
-  town.sites = static_cast<int>(zones.size());
-  town.shards = config.bounds.shards;
-  town.cells = config.settings.cells;
-  town.span = config.settings.span;
+  PlannedCluster town;
+  town.site_count = static_cast<int>(zones.size());
+  town.shard_count = config.bounds.shards;
+  town.cell_count = config.settings.cells;
+  town.cells_per_shard = config.settings.span;
   town.settings = config.settings;
   std::vector<int> many(zones.size(), 0);
   int nowhere = 0;
@@ -154,13 +154,13 @@
   if (town.nodes.empty())
     throw std::runtime_error("the list holds no node that is ready: name one with --list");
   read_loads(o.loads, config, town);
-  std::vector<Row> rows{{plan_loss(town, {}), "none", 0}};
-  for (int a = 0; a < town.sites; ++a)
-    rows.push_back({plan_loss(town, {a}), config.zones[static_cast<std::size_t>(a)], 0});
-  for (int a = 0; a < town.sites && town.sites > 2; ++a)
-    for (int b = a + 1; b < town.sites; ++b)
+  std::vector<Row> rows{{forecast_site_loss(town, {}), "none", 0}};
+  for (int a = 0; a < town.site_count; ++a)
+    rows.push_back({forecast_site_loss(town, {a}), config.zones[static_cast<std::size_t>(a)], 0});
+  for (int a = 0; a < town.site_count && town.site_count > 2; ++a)
+    for (int b = a + 1; b < town.site_count; ++b)
       rows.push_back(
-          {plan_loss(town, {a, b}),
+          {forecast_site_loss(town, {a, b}),
            config.zones[static_cast<std::size_t>(a)] + "+" + config.zones[static_cast<std::size_t>(b)], 0});
   for (auto& row : rows) row.best = best_utility(town, row.loss);
   if (!o.plot.empty()) draw(o.plot, rows, town);
@@ -168,11 +168,11 @@
     fmt::print("{}\n", to_json(rows, town));
     return 0;
   }
-  fmt::print("{} nodes, {} shards on {} of {} cells each;", town.nodes.size(), town.shards, town.span,
-             town.cells);
+  fmt::print("{} nodes, {} shards on {} of {} cells each;", town.nodes.size(), town.shard_count, town.cells_per_shard,
+             town.cell_count);
   for (std::size_t z = 0; z < many.size(); ++z) fmt::print(" {} {}", config.zones[z], many[z]);
   fmt::print("{}\n", nowhere > 0 ? fmt::format(", in no site {}", nowhere) : "");
-  if (town.sites < 2)
+  if (town.site_count < 2)
     fmt::print("one site only: no plan is made for its loss, nodes are judged one by one\n");
   for (std::size_t z = 0; z < many.size(); ++z)
     if (many[z] == 1) fmt::print("{}: a site of one node is judged as a node\n", config.zones[z]);
@@ -180,12 +180,12 @@
   for (const auto& load : town.loads) fmt::print(" {:>16}", load.vertical);
   fmt::print("  return warm, cold\n");
   for (const auto& row : rows) {
-    fmt::print("{:<16} {:>8} {:>8.2f} {:>8.1f}% {:>8.1f}%  ", row.name, row.loss.unheld.size(),
-               row.loss.most_strain, 100 * row.loss.utility / row.loss.whole,
-               100 * row.best / row.loss.whole);
+    fmt::print("{:<16} {:>8} {:>8.2f} {:>8.1f}% {:>8.1f}%  ", row.name, row.loss.unavailable_shards.size(),
+               row.loss.max_node_utilization, 100 * row.loss.served_utility / row.loss.offered_utility,
+               100 * row.best / row.loss.offered_utility);
     for (std::size_t v = 0; v < town.loads.size(); ++v)
-      fmt::print(" {:>15.1f}%", 100 * (1 - row.loss.out_of_reach[v]) * (1 - row.loss.refused[v]));
-    fmt::print("  {:.1f} s, {:.1f} s\n", row.loss.warm_return, row.loss.cold_return);
+      fmt::print(" {:>15.1f}%", 100 * (1 - row.loss.unreachable_share[v]) * (1 - row.loss.rejected_share[v]));
+    fmt::print("  {:.1f} s, {:.1f} s\n", row.loss.warm_recovery_seconds, row.loss.cold_recovery_seconds);
   }
   fmt::print(
       "strain: load to capacity of the fullest node before anything is refused; of verticals: the share "
--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -16,7 +16,7 @@
 // What is believed of sites is told before the module is asked again: the same turn that brings the evidence
 // sends nothing more there.
 void Queries::believe() {
-  if (sites_.changed()) decisions_->believe(sites_.shares());
+  if (sites_.take_shares_changed()) decisions_->believe(sites_.shares());
 }
 
 bool Queries::tick(double now) {
@@ -64,7 +64,7 @@
   if (outcome == Outcome::success && !held.query.leaves[index].in) held.scores[index] = score;
   --held.pending;
   actions_.ended(held.query.vertical, call);
-  sites_.ended(call.node, call.sent, outcome, now);
+  sites_.on_call_ended(call.node, call.sent, outcome, now);
   believe();
   if (witness_ != nullptr) witness_->settled(number, held.query, leaf, call_number, now);
   perform(number, held, decisions_->settle(held.query, leaf, call_number, now), now);
@@ -88,7 +88,7 @@
     auto& calls = held.query.leaves[static_cast<std::size_t>(send.leaf)].calls;
     calls.push_back({send.node, send.group, now, Outcome::pending});
     ++held.pending;
-    sites_.sent(send.node, now);
+    sites_.on_call_sent(send.node, now);
     actions_.send(number, send, static_cast<int>(calls.size()) - 1);
   }
   if (answer.end != End::none) finish_step(number, held, answer);
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -38,16 +38,16 @@
 
   void list(std::span<const Host> hosts, bool complete, double now, bool told = true) {
     decisions_->list(hosts, complete, told);
-    sites_.list(hosts, complete, now);
+    sites_.update_nodes(hosts, complete, now);
   }
   void forget_node(int node) {
     decisions_->forget(node);
-    sites_.forget(node);
+    sites_.remove_node(node);
   }
   void hear(Word word, double now) { decisions_->hear(word, now); }
   void list_failed(double now) { decisions_->list_failed(now); }
   bool tick(double now);
-  Sites& sites() { return sites_; }
+  SiteHealthMonitor& sites() { return sites_; }
   double period() const { return decisions_->period(); }
   Belief belief(int node, double now) const { return decisions_->belief(node, now); }
   long long unjudged() const { return decisions_->unjudged(); }
@@ -84,7 +84,7 @@
   void believe();
 
   std::unique_ptr<Decisions> decisions_;
-  Sites sites_;
+  SiteHealthMonitor sites_;
   DueTimes& due_;
   Actions& actions_;
   Witness* witness_ = nullptr;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -261,8 +261,8 @@
   config_.operators = operators;
   const auto began = now();
   standing_.shape(operators.fleet, server_ != nullptr);
-  queries_.sites().on(sites.on);
-  queries_.sites().evacuate(
+  queries_.sites().set_enabled(sites.on);
+  queries_.sites().set_evacuation(
       sites.evacuate.empty()
           ? std::nullopt
           : std::optional(Evacuation{look_up(zones_, sites.evacuate), began, sites.over,
@@ -369,15 +369,15 @@
 }
 
 void Router::tell_sites() {
-  for (const auto& news : queries_.sites().news()) {
+  for (const auto& news : queries_.sites().take_changes()) {
     const auto& name_of = config_.zones[static_cast<std::size_t>(news.site)];
     log_.line(
         "site",
         "name={} state={} before={} lasted={:.3f} nodes={} bad={} refused={} evidence={:.1f} usual={:.2f} "
         "share={:.2f} cold={:d} held_back={:d}",
-        name_of, why_name(What::site, static_cast<std::uint8_t>(news.now)),
-        why_name(What::site, static_cast<std::uint8_t>(news.before)), news.lasted, news.nodes, news.bad,
-        news.refused, news.evidence, news.usual, news.share, news.cold, news.held_back);
+        name_of, why_name(What::site, static_cast<std::uint8_t>(news.current)),
+        why_name(What::site, static_cast<std::uint8_t>(news.previous)), news.previous_seconds, news.node_count, news.failing_nodes,
+        news.refused_nodes, news.evidence, news.baseline_failure_share, news.load_share, news.in_slow_start, news.evacuation_held_back);
     if (recorder_) recorder_->site(name_of, news);
   }
 }
@@ -386,15 +386,15 @@
 void Router::tell_standing(double at) {
   auto lost = false;
   for (std::size_t site = 0; site < zones_.size(); ++site) {
-    const auto belief = queries_.sites().belief(static_cast<int>(site));
-    lost = lost || belief == SiteBelief::lost || belief == SiteBelief::cut_off;
+    const auto belief = queries_.sites().health(static_cast<int>(site));
+    lost = lost || belief == SiteHealth::lost || belief == SiteHealth::cut_off;
   }
   hidden_.clear();
   if (lost)
     for (const auto& member : members_.list().members) {
       const auto node = nodes_.find(member.id);
-      const auto belief = queries_.sites().belief(look_up(zones_, member.zone));
-      if (node == nodes_.end() || (belief != SiteBelief::lost && belief != SiteBelief::cut_off)) continue;
+      const auto belief = queries_.sites().health(look_up(zones_, member.zone));
+      if (node == nodes_.end() || (belief != SiteHealth::lost && belief != SiteHealth::cut_off)) continue;
       hidden_.resize(std::max(hidden_.size(), static_cast<std::size_t>(node->second) + 1));
       hidden_[static_cast<std::size_t>(node->second)] = true;
     }
--- a/src/sites/plan.hpp
+++ b/src/sites/plan.hpp
@@ -1,7 +1,7 @@
-// What the loss of a site will mean, told beforehand: which tranches have no holder left, how strained the
-// rest is, which verticals are refused in what share by the module's own rule, how long the return takes. A
-// forecast over mean rates, no I/O; it steers nothing. Rates are parts or queries a second, capacities parts
-// a second, times seconds.
+// Forecast of what the loss of sites would mean: which shards have no replica left, how loaded the remaining
+// nodes are, which share of each vertical the routing policy would reject, and how long the recovery takes.
+// It is computed from mean rates, does no I/O and controls nothing. Rates are parts or queries per second,
+// capacities parts per second, times seconds.
 #pragma once
 
 #include <string>
@@ -14,37 +14,41 @@
 struct PlannedNode {
   int site = kNone;
   int cell = 0;
-  double capacity = 0;
+  double parts_per_second = 0;  // capacity
 };
 
+// The load of one vertical.
 struct PlannedLoad {
   std::string vertical;
-  double rate = 0;     // queries
-  int parts = 1;       // of a query, at shards drawn evenly
-  double utility = 1;  // of a query
+  double queries_per_second = 0;
+  int parts_per_query = 1;  // each goes to another shard, drawn evenly
+  double utility_per_query = 1;
 };
 
-struct PlannedTown {
-  int sites = 0, shards = 0, cells = 1, span = 1;
+struct PlannedCluster {
+  int site_count = 0, shard_count = 0, cell_count = 1;
+  int cells_per_shard = 1;  // cells that hold a shard, from cell (shard mod cell_count) on
   std::vector<PlannedNode> nodes;
   std::vector<PlannedLoad> loads;
-  Settings settings;  // cold start and falling over
+  Settings settings;  // for the slow start and the overload limit of nodes
 };
 
-struct PlannedLoss {
-  std::vector<int> lost;       // sites
-  std::vector<int> unheld;     // shards
-  std::vector<double> strain;  // by shard: load to capacity of the holders left, before anything is refused
-  double most_strain = 0;      // of a node
-  std::vector<double> out_of_reach;  // by load: share of its queries that need an unheld shard
-  std::vector<double>
-      refused;  // by load: share of the others that is refused so that no node is over its capacity
-  double utility = 0, whole = 0;  // a second: what is served, what was asked
-  double warm_return = 0, cold_return = 0;
+struct SiteLossForecast {
+  std::vector<int> lost_sites;
+  std::vector<int> unavailable_shards;    // no replica is left
+  std::vector<double> shard_utilization;  // by shard: load to capacity of the remaining replicas, before any
+                                          // query is rejected
+  double max_node_utilization = 0;  // load to capacity of the fullest node, before any query is rejected
+  std::vector<double> unreachable_share;  // by load: share of its queries that need an unavailable shard
+  std::vector<double> rejected_share;     // by load: share of its other queries that is rejected so that no
+                                          // node exceeds its capacity
+  double served_utility = 0, offered_utility = 0;               // per second
+  double warm_recovery_seconds = 0, cold_recovery_seconds = 0;  // cold: the nodes are in slow start
 };
 
-// The holders that are left of each shard, by node.
-std::vector<std::vector<int>> holders_left(const PlannedTown& town, const std::vector<int>& lost);
-PlannedLoss plan_loss(const PlannedTown& town, const std::vector<int>& lost);
+// For each shard the indices of the nodes that hold it and are not at a lost site.
+std::vector<std::vector<int>> remaining_replicas(const PlannedCluster& cluster,
+                                                 const std::vector<int>& lost_sites);
+SiteLossForecast forecast_site_loss(const PlannedCluster& cluster, const std::vector<int>& lost_sites);
 
 }  // namespace yoketurn
--- a/src/sites/sites.cpp
+++ b/src/sites/sites.cpp
@@ -9,67 +9,70 @@
 
 namespace {
 
-constexpr double kBadIfLost = 0.98;   // chance of a bad say from a node of a lost site
-constexpr double kFewest = 0.05;      // least usual share of bad says
-constexpr double kMost = 0.7;         // and the most: above it bad says tell next to nothing
-constexpr double kLost = 8;           // log likelihood from which a site is lost: one false alarm in e^8 runs
-constexpr double kDoubted = 4;        // and from which it is doubted, or lost again while it returns
-constexpr int kFewNodes = 8;          // that speak with one voice make a site, or most of fewer
-constexpr int kAgainNodes = 3;        // and so many one that was lost a moment ago, or is silent for
-constexpr double kLongSilence = 0.6;  // so long without one good say
-constexpr int kControl = 2;           // nodes elsewhere that must answer meanwhile
-constexpr double kVoices = 0.8;       // share of the nodes that speak which must say the same
-constexpr double kUsualWeight = 0.02;  // of a say in what is usual
-constexpr double kLate = 1;            // says are forgotten with this time constant
-constexpr double kSmoothing = 0.05;    // of a latency
-constexpr double kDeviations = 6;      // of latencies over the mean after which a part waits too long
-constexpr double kShortest = 0.02;
-constexpr double kTick = 0.2;    // two ticks, by which silence is seen late
-constexpr int kWarm = 30;        // answers before which silence says nothing
-constexpr double kStill = 0.3;   // between two ticks: the router stood still
-constexpr double kTrial = 0.25;  // pause between trials of a lost site, at first
-constexpr double kTrialGrows = 1.5;
-constexpr double kTrialMost = 2;
-constexpr double kRelapse = 2;  // times the pause after each relapse
-constexpr double kRelapseMost = 4;
-constexpr double kFirstShare = 0.25;  // of its load that a returning site gets
-constexpr double kStep = 0.25;        // between two doublings of it
-constexpr int kStepSays = 2;          // good ones that a doubling needs
-constexpr double kQuietStep = 1.5;    // or so long in any case
-constexpr double kColdLatency = 1.6;  // times that of the others: its nodes are cold
-constexpr double kMargin = 0.5;       // of what rule 4 lets a cold node bear
-constexpr double kSettled = 10;       // after which a return is forgotten
+constexpr double kFailureChanceIfLost = 0.98;      // that an observation of a lost site is a failure
+constexpr double kMinBaselineFailureShare = 0.05;  // bounds of the usual share of failures
+constexpr double kMaxBaselineFailureShare = 0.7;   // above it failures say next to nothing
+constexpr double kLostEvidence = 8;             // log likelihood ratio of a loss: one false alarm in e^8 runs
+constexpr double kSuspectedEvidence = 4;        // the same for a suspicion, or a relapse of a returning site
+constexpr int kMinFailingNodes = 8;             // or most nodes of a smaller site
+constexpr int kMinFailingNodesIfSilent = 3;     // for a relapse, or a site without any answer for ...
+constexpr double kLongSilenceSeconds = 0.6;     // ... this time
+constexpr int kMinAnsweringElsewhere = 2;       // nodes of other sites that must answer meanwhile
+constexpr double kMinFailingShare = 0.8;        // of the nodes observed that must be failing
+constexpr double kBaselineWeight = 0.02;        // of one observation in the smoothed baseline
+constexpr double kObservationDecaySeconds = 1;  // time constant of recent observations
+constexpr double kLatencyWeight = 0.05;         // of one answer in the smoothed latency
+constexpr double kSilenceDeviations = 6;        // above the mean latency after which a part is overdue
+constexpr double kMinSilenceTimeoutSeconds = 0.02;
+constexpr double kSilenceCheckDelaySeconds = 0.2;  // two ticks, by which silence may be noticed late
+constexpr int kMinLatencySamples = 30;             // before these silence is no evidence
+constexpr double kStallSeconds = 0.3;              // a longer time between two ticks is a stall of the router
+constexpr double kFirstProbeIntervalSeconds = 0.25;
+constexpr double kProbeBackoffFactor = 1.5;
+constexpr double kMaxProbeIntervalSeconds = 2;
+constexpr double kRelapseBackoffFactor = 2;
+constexpr double kMaxRelapseProbeIntervalSeconds = 4;
+constexpr double kFirstLoadShare = 0.25;        // of its usual load that a returning site gets
+constexpr double kStepSeconds = 0.25;           // least time between two doublings of that share
+constexpr int kMinSuccessesPerStep = 2;         // answers that a doubling needs ...
+constexpr double kQuietStepSeconds = 1.5;       // ... or so much time, if there were fewer
+constexpr double kSlowStartLatencyRatio = 1.6;  // to the other sites' latency: nodes are in slow start
+// Share of the load at which a node in slow start would be overloaded that a returning site may get.
+constexpr double kSlowStartLoadMargin = 0.5;
+constexpr double kRelapseWindowSeconds = 10;  // a loss so soon after a recovery is a relapse
 
 }  // namespace
 
-double return_time(const Settings& s, bool cold) {
-  const auto steps = std::ceil(std::log2(1 / kFirstShare)) * kStep;
-  if (!cold || s.cold_time <= 0 || s.start_capacity >= 1) return steps;
-  const auto needed = 1 / std::max(kMargin * s.fall_multiple, 1e-9);
-  return std::max(steps, s.cold_time * (std::min(needed, 1.0) - s.start_capacity) / (1 - s.start_capacity));
+double recovery_seconds(const Settings& settings, bool slow_start) {
+  const auto doubling_seconds = std::ceil(std::log2(1 / kFirstLoadShare)) * kStepSeconds;
+  if (!slow_start || settings.cold_time <= 0 || settings.start_capacity >= 1) return doubling_seconds;
+  const auto needed_capacity = 1 / std::max(kSlowStartLoadMargin * settings.fall_multiple, 1e-9);
+  return std::max(doubling_seconds, settings.cold_time *
+                                        (std::min(needed_capacity, 1.0) - settings.start_capacity) /
+                                        (1 - settings.start_capacity));
 }
 
-Sites::Sites(const Settings& s, std::uint64_t seed)
-    : own_(s.zone),
-      start_(s.start_capacity),
-      cold_time_(s.cold_time),
-      fall_(s.fall_multiple),
-      chance_(static_cast<std::uint_fast32_t>(seed * 31 + 7)) {}
+SiteHealthMonitor::SiteHealthMonitor(const Settings& settings, std::uint64_t seed)
+    : own_site_(settings.zone),
+      start_capacity_(settings.start_capacity),
+      slow_start_seconds_(settings.cold_time),
+      overload_multiple_(settings.fall_multiple),
+      random_(static_cast<std::uint_fast32_t>(seed * 31 + 7)) {}
 
-void Sites::on(bool on) {
-  if (on == on_) return;
-  on_ = on;
+void SiteHealthMonitor::set_enabled(bool enabled) {
+  if (enabled == enabled_) return;
+  enabled_ = enabled;
   for (std::size_t i = 0; i < sites_.size(); ++i) {
-    const auto nodes = sites_[i].nodes;
+    const auto node_count = sites_[i].node_count;
     sites_[i] = {};
-    sites_[i].nodes = nodes;
+    sites_[i].node_count = node_count;
   }
-  for (auto& node : nodes_) node.bad = node.refused = false;
+  for (auto& node : nodes_) node.failing = node.connection_refused = false;
   shares_.clear();
-  changed_ = true;
+  shares_changed_ = true;
 }
 
-void Sites::list(std::span<const Host> hosts, bool complete, double now) {
+void SiteHealthMonitor::update_nodes(std::span<const Host> hosts, bool complete, double now) {
   if (complete)
     for (auto& node : nodes_) node.up = false;
   for (const auto& host : hosts) {
@@ -77,77 +80,81 @@
     if (static_cast<std::size_t>(host.node) >= nodes_.size())
       nodes_.resize(static_cast<std::size_t>(host.node) + 1);
     auto& node = nodes_[static_cast<std::size_t>(host.node)];
-    // A new process: what was said of the old one is no say of it.
-    if (host.born != node.born) node = {};
+    // A new process: observations of the old one do not count for it.
+    if (host.born != node.started_at) node = {};
     node.site = host.zone;
     node.up = host.up;
-    node.born = host.born;
+    node.started_at = host.born;
     if (host.zone >= 0 && static_cast<std::size_t>(host.zone) >= sites_.size())
       sites_.resize(static_cast<std::size_t>(host.zone) + 1);
   }
-  // Discovery's word that nodes of a lost site have started since is news of life there. That they stand
-  // ready is none: so they did before.
-  if (on_)
+  // Nodes of a lost site that discovery reports as started after the loss show that the site is back. That
+  // they are listed as up shows nothing: they were listed so all along.
+  if (enabled_)
     for (const auto& host : hosts) {
       const auto site = host.zone;
       if (site == kNone || !host.up) continue;
-      const auto lost = at(site).belief == SiteBelief::lost || at(site).belief == SiteBelief::cut_off;
-      if (lost && host.born > at(site).lost_at) enter(site, SiteBelief::returning, now);
+      const auto lost =
+          site_at(site).health == SiteHealth::lost || site_at(site).health == SiteHealth::cut_off;
+      if (lost && host.born > site_at(site).lost_at) set_health(site, SiteHealth::returning, now);
     }
-  for (auto& site : sites_) site.nodes = 0;
+  for (auto& site : sites_) site.node_count = 0;
   for (const auto& node : nodes_)
-    if (node.up && node.site != kNone) ++at(node.site).nodes;
+    if (node.up && node.site != kNone) ++site_at(node.site).node_count;
 }
 
-void Sites::forget(int node) {
+void SiteHealthMonitor::remove_node(int node) {
   if (static_cast<std::size_t>(node) < nodes_.size()) nodes_[static_cast<std::size_t>(node)] = {};
 }
 
-Sites::Node* Sites::known(int node) {
-  if (!on_ || sites_.size() < 2 || static_cast<std::size_t>(node) >= nodes_.size()) return nullptr;
+SiteHealthMonitor::Node* SiteHealthMonitor::find_tracked_node(int node) {
+  if (!enabled_ || sites_.size() < 2 || static_cast<std::size_t>(node) >= nodes_.size()) return nullptr;
   auto& found = nodes_[static_cast<std::size_t>(node)];
   return found.site == kNone ? nullptr : &found;
 }
 
-void Sites::sent(int number, double now) {
-  auto* node = known(number);
+void SiteHealthMonitor::on_call_sent(int node_id, double now) {
+  auto* node = find_tracked_node(node_id);
   if (node == nullptr) return;
-  if (node->out++ == 0) node->waits_from = now - node->silent;
-  auto& site = at(node->site);
-  if (site.belief != SiteBelief::lost && site.belief != SiteBelief::cut_off) return;
-  if (node->born > site.lost_at) return;
-  site.pause = std::min(site.pause * kTrialGrows, std::max(kTrialMost, site.pause));
-  site.trial_at = now + site.pause * std::uniform_real_distribution<>(0.5, 1.5)(chance_);
-  share_out(now);
+  if (node->pending_calls++ == 0) node->waiting_since = now - node->unanswered_wait;
+  auto& site = site_at(node->site);
+  if (site.health != SiteHealth::lost && site.health != SiteHealth::cut_off) return;
+  if (node->started_at > site.lost_at) return;
+  site.probe_interval = std::min(site.probe_interval * kProbeBackoffFactor,
+                                 std::max(kMaxProbeIntervalSeconds, site.probe_interval));
+  site.next_probe_at = now + site.probe_interval * std::uniform_real_distribution<>(0.5, 1.5)(random_);
+  update_shares(now);
 }
 
-void Sites::ended(int number, double sent, Outcome outcome, double now) {
-  auto* node = known(number);
+void SiteHealthMonitor::on_call_ended(int node_id, double sent_at, Outcome outcome, double now) {
+  auto* node = find_tracked_node(node_id);
   if (node == nullptr) return;
-  node->out = std::max(node->out - 1, 0);
-  const auto waited = node->waits_from;
-  if (node->out == 0) node->waits_from = 0;
-  const auto age = now - sent;
+  node->pending_calls = std::max(node->pending_calls - 1, 0);
+  const auto waiting_since = node->waiting_since;
+  if (node->pending_calls == 0) node->waiting_since = 0;
+  const auto age = now - sent_at;
   switch (outcome) {
     case Outcome::success:
     case Outcome::failure:
     case Outcome::overloaded:
     case Outcome::spoilt:
-      node->silent = 0;
-      if (node->out > 0) node->waits_from = now;  // it lives: what is still out waits from now
-      return say(*node, false, false, sent, outcome == Outcome::success ? age : 0, now);
+      node->unanswered_wait = 0;
+      if (node->pending_calls > 0)
+        node->waiting_since = now;  // the node lives: what is still pending waits from now
+      return record_observation(*node, false, false, sent_at, outcome == Outcome::success ? age : 0, now);
     case Outcome::unreachable:
     case Outcome::broken:
-      return say(*node, true, true, sent, 0, now);
+      return record_observation(*node, true, true, sent_at, 0, now);
     case Outcome::timed_out:
     case Outcome::cancelled:
-      // What was sent before the router stood still was not answered by the router, maybe.
-      if (waited <= 0 || sent < awake_) return;
-      // A copy elsewhere is back long before a silent node's time is over: what such calls waited in vain
-      // adds up until the node answers (total time on test: B. Epstein, M. Sobel, Life Testing, JASA 48,
-      // 1953).
-      if (node->out == 0) node->silent = now - waited;
-      if (now - waited > patience()) say(*node, true, false, overdue_from(waited, now), 0, now);
+      // A call that was sent before the router stalled may have been answered without the router reading it.
+      if (waiting_since <= 0 || sent_at < resumed_at_) return;
+      // A hedged copy elsewhere usually answers long before the timeout of a silent node, so that no single
+      // call proves the silence. The waits of cancelled calls are added up until the node answers (total time
+      // on test: B. Epstein, M. Sobel, Life Testing, JASA 48, 1953).
+      if (node->pending_calls == 0) node->unanswered_wait = now - waiting_since;
+      if (now - waiting_since > silence_timeout())
+        record_observation(*node, true, false, overdue_sent_from(waiting_since, now), 0, now);
       return;
     case Outcome::pending:
     case Outcome::unsent:
@@ -155,292 +162,318 @@
   }
 }
 
-// Share of bad says that is no news: what this site has as a rule, or what the others have now.
-double Sites::usual(const Site& site) const {
+// The share of failures that is no evidence of a loss: the larger of this site's usual share and the other
+// sites' present one.
+double SiteHealthMonitor::baseline_failure_share(const Site& site) const {
   double good = 0, bad = 0;
   for (const auto& other : sites_) {
-    if (&other == &site || other.belief == SiteBelief::lost || other.belief == SiteBelief::cut_off) continue;
-    good += other.good_says;
-    bad += other.bad_says;
+    if (&other == &site || other.health == SiteHealth::lost || other.health == SiteHealth::cut_off) continue;
+    good += other.recent_successes;
+    bad += other.recent_failures;
   }
   const auto elsewhere = good + bad > 1 ? bad / (good + bad) : 0;
-  return std::clamp(std::max(site.usual_bad, elsewhere), kFewest, kMost);
+  return std::clamp(std::max(site.baseline_failure_share, elsewhere), kMinBaselineFailureShare,
+                    kMaxBaselineFailureShare);
 }
 
-// How long a part may wait before its node's silence is a say.
-double Sites::patience() const {
-  return answers_ >= kWarm ? std::max(latency_ + kDeviations * deviation_, kShortest)
-                           : std::numeric_limits<double>::infinity();
+// How long a part may wait before the silence of its node counts as a failure; infinite while there are too
+// few latency samples.
+double SiteHealthMonitor::silence_timeout() const {
+  return latency_samples_ >= kMinLatencySamples
+             ? std::max(mean_latency_ + kSilenceDeviations * latency_deviation_, kMinSilenceTimeoutSeconds)
+             : std::numeric_limits<double>::infinity();
 }
 
-// From when on parts were sent that a silent node's say is held against: with the part it left, but of a node
-// that hangs for long no earlier than what could just now be overdue.
-double Sites::overdue_from(double waits_from, double now) const {
-  return std::max(waits_from, now - 2 * patience() - kTick);
+// The send time from which on answers of other nodes are compared with the silence of this one: that of the
+// part it left unanswered, but for a node that has hung for long no earlier than a part that is overdue just
+// now.
+double SiteHealthMonitor::overdue_sent_from(double waiting_since, double now) const {
+  return std::max(waiting_since, now - 2 * silence_timeout() - kSilenceCheckDelaySeconds);
 }
 
-int Sites::answered_since(int site, double sent) const {
+// Counts the nodes of a site that have answered a part sent at `sent_at` or later.
+int SiteHealthMonitor::nodes_answering_since(int site, double sent_at) const {
   return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), [&](const Node& node) {
-    return node.site == site && node.up && node.good_sent >= sent;
+    return node.site == site && node.up && node.last_answered_sent_at >= sent_at;
   }));
 }
 
-void Sites::say(Node& node, bool bad, bool refused, double sent, double latency, double now) {
-  auto& site = at(node.site);
-  const auto was_bad = node.bad && node.round == site.round;
-  if (bad && was_bad) return;  // it has had its say
-  (bad ? site.bad_says : site.good_says) += 1;
-  const auto p = usual(site);
-  const auto lost = site.belief == SiteBelief::lost || site.belief == SiteBelief::cut_off;
-  if (!lost) site.usual_bad += kUsualWeight * ((bad ? 1 : 0) - site.usual_bad);
-  if (was_bad) {
-    --site.bad;
-    if (node.refused) --site.refused;
+void SiteHealthMonitor::record_observation(Node& node, bool failing, bool connection_refused, double sent_at,
+                                           double latency, double now) {
+  auto& site = site_at(node.site);
+  const auto was_failing = node.failing && node.evidence_round == site.evidence_round;
+  if (failing && was_failing) return;  // only a change of the node's state is an observation
+  (failing ? site.recent_failures : site.recent_successes) += 1;
+  const auto baseline = baseline_failure_share(site);
+  const auto lost = site.health == SiteHealth::lost || site.health == SiteHealth::cut_off;
+  if (!lost)
+    site.baseline_failure_share += kBaselineWeight * ((failing ? 1 : 0) - site.baseline_failure_share);
+  if (was_failing) {
+    --site.failing_nodes;
+    if (node.connection_refused) --site.refused_nodes;
   }
-  node.bad = bad;
-  node.refused = refused;
-  node.round = site.round;
-  if (bad) {
-    if (site.bad++ == 0) site.bad_from = sent;
-    site.bad_from = std::min(site.bad_from, sent);
-    if (refused) ++site.refused;
-    ++site.bad_since;
-    site.evidence += std::log(kBadIfLost / p);
+  node.failing = failing;
+  node.connection_refused = connection_refused;
+  node.evidence_round = site.evidence_round;
+  if (failing) {
+    if (site.failing_nodes++ == 0) site.failing_sent_from = sent_at;
+    site.failing_sent_from = std::min(site.failing_sent_from, sent_at);
+    if (connection_refused) ++site.refused_nodes;
+    ++site.failures_since_step;
+    site.evidence += std::log(kFailureChanceIfLost / baseline);
   } else {
-    node.good_sent = std::max(node.good_sent, sent);
-    ++site.good_since;
-    site.evidence += std::log((1 - kBadIfLost) / (1 - p));
-    if (latency > 0 && site.belief == SiteBelief::returning)
-      site.latency += (site.latency > 0 ? 0.2 : 1) * (latency - site.latency);
+    node.last_answered_sent_at = std::max(node.last_answered_sent_at, sent_at);
+    ++site.successes_since_step;
+    site.evidence += std::log((1 - kFailureChanceIfLost) / (1 - baseline));
+    if (latency > 0 && site.health == SiteHealth::returning)
+      site.recovery_latency += (site.recovery_latency > 0 ? 0.2 : 1) * (latency - site.recovery_latency);
     else if (latency > 0 && !lost) {
-      const auto off = std::abs(latency - latency_);
-      if (latency_ <= 0) latency_ = deviation_ = latency;
-      answers_ = std::min(answers_ + 1, kWarm);
-      latency_ += kSmoothing * (latency - latency_);
-      deviation_ += kSmoothing * (off - deviation_);
+      const auto difference = std::abs(latency - mean_latency_);
+      if (mean_latency_ <= 0) mean_latency_ = latency_deviation_ = latency;
+      latency_samples_ = std::min(latency_samples_ + 1, kMinLatencySamples);
+      mean_latency_ += kLatencyWeight * (latency - mean_latency_);
+      latency_deviation_ += kLatencyWeight * (difference - latency_deviation_);
     }
-    // Any answer from a lost site is life there.
+    // Any answer from a lost site shows that it is back.
     if (lost) {
-      site.latency = latency;
-      enter(node.site, SiteBelief::returning, now);
+      site.recovery_latency = latency;
+      set_health(node.site, SiteHealth::returning, now);
     }
   }
   if (site.evidence <= 0) {
     site.evidence = 0;
-    if (site.bad > 0) {
-      ++site.round;
-      site.bad = site.refused = 0;
+    if (site.failing_nodes > 0) {
+      ++site.evidence_round;
+      site.failing_nodes = site.refused_nodes = 0;
     }
   }
-  weigh(node.site, now);
+  evaluate(node.site, now);
 }
 
-// Where the other sites do not answer what was sent to them since, it is this router that hears nothing, or
-// the fleet that is slow: nothing is known of one site.
-bool Sites::others_answer(int site, double sent) const {
-  int good = 0, bad = 0;
+// Whether enough nodes of the other sites answer what was sent since then. If not, this router hears nothing
+// or the whole fleet is slow, and the failures say nothing about one site.
+bool SiteHealthMonitor::other_sites_answer(int site, double sent_at) const {
+  int answering = 0, failing = 0;
   for (std::size_t i = 0; i < sites_.size(); ++i) {
     const auto& other = sites_[i];
-    if (static_cast<int>(i) == site || other.belief == SiteBelief::lost ||
-        other.belief == SiteBelief::cut_off)
+    if (static_cast<int>(i) == site || other.health == SiteHealth::lost ||
+        other.health == SiteHealth::cut_off)
       continue;
-    good += answered_since(static_cast<int>(i), sent);
-    bad += other.bad;
+    answering += nodes_answering_since(static_cast<int>(i), sent_at);
+    failing += other.failing_nodes;
   }
-  return good >= kControl && good >= bad;
+  return answering >= kMinAnsweringElsewhere && answering >= failing;
 }
 
-// What the evidence makes of a site.
-void Sites::weigh(int number, double now) {
-  if (number == kNone || !on_) return;
-  auto& site = at(number);
-  if (site.belief == SiteBelief::lost || site.belief == SiteBelief::cut_off ||
-      site.belief == SiteBelief::evacuated)
+// Decides from the evidence whether a site is lost, suspected or healthy.
+void SiteHealthMonitor::evaluate(int site_id, double now) {
+  if (site_id == kNone || !enabled_) return;
+  auto& site = site_at(site_id);
+  if (site.health == SiteHealth::lost || site.health == SiteHealth::cut_off ||
+      site.health == SiteHealth::evacuated)
     return;
-  // Good says come at once and bad ones late: those of parts that were sent at the same time count against
-  // them, whatever their order. A site half of whose nodes hang is not lost.
-  // The module avoids what is silent, so the last nodes may never be asked: then time tells.
-  const auto again = site.belief == SiteBelief::returning;
-  const auto good = site.bad > 0 ? answered_since(number, site.bad_from) : 0;
-  const auto few = again || (good == 0 && now > site.bad_from + kLongSilence);
-  const auto fewest = few ? std::min(kAgainNodes, site.nodes) : std::min(site.nodes / 2 + 1, kFewNodes);
-  const auto enough = site.bad >= std::max(2, fewest) && site.evidence >= kDoubted &&
-                      site.bad >= kVoices * (site.bad + good) && others_answer(number, site.bad_from);
-  const auto all = site.bad >= site.nodes;
-  if (site.belief == SiteBelief::returning) {
-    if (enough && site.evidence >= kDoubted) enter(number, SiteBelief::lost, now);
-  } else if (enough && (site.evidence >= kLost || all)) {
-    enter(number, SiteBelief::lost, now);
-  } else if (site.belief == SiteBelief::sound && enough && site.evidence >= kDoubted) {
-    enter(number, SiteBelief::doubted, now);
-  } else if (site.belief == SiteBelief::doubted && site.evidence < kDoubted / 2) {
-    enter(number, SiteBelief::sound, now);
+  // Answers arrive at once and failures late. Failures are therefore weighed against the answers to parts
+  // that were sent at the same time, whatever the order of arrival: a site half of whose nodes hang is not
+  // lost. The routing policy avoids silent nodes, so that the last nodes of a lost site may get no call;
+  // after kLongSilenceSeconds without any answer fewer failing nodes are enough.
+  const auto returning = site.health == SiteHealth::returning;
+  const auto answering = site.failing_nodes > 0 ? nodes_answering_since(site_id, site.failing_sent_from) : 0;
+  const auto few_are_enough =
+      returning || (answering == 0 && now > site.failing_sent_from + kLongSilenceSeconds);
+  const auto min_failing = few_are_enough ? std::min(kMinFailingNodesIfSilent, site.node_count)
+                                          : std::min(site.node_count / 2 + 1, kMinFailingNodes);
+  const auto enough = site.failing_nodes >= std::max(2, min_failing) && site.evidence >= kSuspectedEvidence &&
+                      site.failing_nodes >= kMinFailingShare * (site.failing_nodes + answering) &&
+                      other_sites_answer(site_id, site.failing_sent_from);
+  const auto all_failing = site.failing_nodes >= site.node_count;
+  if (site.health == SiteHealth::returning) {
+    if (enough && site.evidence >= kSuspectedEvidence) set_health(site_id, SiteHealth::lost, now);
+  } else if (enough && (site.evidence >= kLostEvidence || all_failing)) {
+    set_health(site_id, SiteHealth::lost, now);
+  } else if (site.health == SiteHealth::healthy && enough && site.evidence >= kSuspectedEvidence) {
+    set_health(site_id, SiteHealth::suspected, now);
+  } else if (site.health == SiteHealth::suspected && site.evidence < kSuspectedEvidence / 2) {
+    set_health(site_id, SiteHealth::healthy, now);
   }
 }
 
-void Sites::enter(int number, SiteBelief belief, double now) {
-  auto& site = at(number);
-  if (belief == SiteBelief::lost) {
-    const auto others_lost = [&] {
+void SiteHealthMonitor::set_health(int site_id, SiteHealth health, double now) {
+  auto& site = site_at(site_id);
+  if (health == SiteHealth::lost) {
+    const auto all_others_lost = [&] {
       for (std::size_t i = 0; i < sites_.size(); ++i)
-        if (static_cast<int>(i) != number && static_cast<int>(i) != own_ && sites_[i].nodes > 0 &&
-            sites_[i].belief != SiteBelief::lost && sites_[i].belief != SiteBelief::cut_off)
+        if (static_cast<int>(i) != site_id && static_cast<int>(i) != own_site_ && sites_[i].node_count > 0 &&
+            sites_[i].health != SiteHealth::lost && sites_[i].health != SiteHealth::cut_off)
           return false;
       return true;
     };
-    if (number != own_ && own_ != kNone && sites_.size() > 2 && others_lost()) belief = SiteBelief::cut_off;
+    if (site_id != own_site_ && own_site_ != kNone && sites_.size() > 2 && all_others_lost())
+      health = SiteHealth::cut_off;
     site.lost_at = now;
-    const auto relapsed =
-        site.belief == SiteBelief::returning || (site.back_since > 0 && now < site.back_since + kSettled);
-    site.pause = relapsed ? std::min(std::max(site.pause, kTrial) * kRelapse, kRelapseMost) : kTrial;
-    site.trial_at = now + site.pause * std::uniform_real_distribution<>(0.5, 1.5)(chance_);
+    const auto relapsed = site.health == SiteHealth::returning ||
+                          (site.recovered_at > 0 && now < site.recovered_at + kRelapseWindowSeconds);
+    site.probe_interval =
+        relapsed ? std::min(std::max(site.probe_interval, kFirstProbeIntervalSeconds) * kRelapseBackoffFactor,
+                            kMaxRelapseProbeIntervalSeconds)
+                 : kFirstProbeIntervalSeconds;
+    site.next_probe_at = now + site.probe_interval * std::uniform_real_distribution<>(0.5, 1.5)(random_);
   }
-  const auto before = std::exchange(site.belief, belief);
-  news_.push_back({number, before, belief, now, site.since > 0 ? now - site.since : 0, site.nodes, site.bad,
-                   site.refused, site.evidence, usual(site), 1, false, site.held_back});
-  site.since = now;
-  if (belief == SiteBelief::returning) {
-    // What its nodes said, and how long they were silent, while it was lost says nothing of the time after.
+  const auto previous = std::exchange(site.health, health);
+  changes_.push_back({site_id, previous, health, now, site.health_since > 0 ? now - site.health_since : 0,
+                      site.node_count, site.failing_nodes, site.refused_nodes, site.evidence,
+                      baseline_failure_share(site), 1, false, site.evacuation_held_back});
+  site.health_since = now;
+  if (health == SiteHealth::returning) {
+    // Observations and waits from the time of the loss say nothing about the time after it.
     for (auto& node : nodes_)
-      if (node.site == number) node.silent = 0;
+      if (node.site == site_id) node.unanswered_wait = 0;
     site.evidence = 0;
-    ++site.round;
-    site.bad = site.refused = 0;
-    site.share = kFirstShare;
-    site.grown = now;
-    site.good_since = site.bad_since = 0;
+    ++site.evidence_round;
+    site.failing_nodes = site.refused_nodes = 0;
+    site.load_share = kFirstLoadShare;
+    site.last_step_at = now;
+    site.successes_since_step = site.failures_since_step = 0;
   }
-  if (belief == SiteBelief::sound && before == SiteBelief::returning) {
-    site.back_since = now;
-    site.share = 1;
+  if (health == SiteHealth::healthy && previous == SiteHealth::returning) {
+    site.recovered_at = now;
+    site.load_share = 1;
   }
-  share_out(now);
-  news_.back().share = shares_.empty() ? 1 : shares_[static_cast<std::size_t>(number)].share;
-  news_.back().cold = belief == SiteBelief::returning && cold(site);
+  update_shares(now);
+  changes_.back().load_share = shares_.empty() ? 1 : shares_[static_cast<std::size_t>(site_id)].share;
+  changes_.back().in_slow_start = health == SiteHealth::returning && in_slow_start(site);
 }
 
-bool Sites::cold(const Site& site) const {
-  return latency_ > 0 && site.latency > kColdLatency * latency_;
+bool SiteHealthMonitor::in_slow_start(const Site& site) const {
+  return mean_latency_ > 0 && site.recovery_latency > kSlowStartLatencyRatio * mean_latency_;
 }
 
-// The most of its load that all routers together may send a returning site, so that no node of it is pushed
-// over though it started a moment ago and nobody was told: a node's usual load is no more than it can do when
-// warm.
-double Sites::bound(const Site& site, double now) const {
-  if (!cold(site) || cold_time_ <= 0) return 1;
-  const auto capacity = std::min(1.0, start_ + (1 - start_) * (now - site.since) / cold_time_);
-  return std::clamp(kMargin * fall_ * capacity, 0.05, 1.0);
+// The largest share of its usual load that all routers together may send a returning site, so that no node of
+// it is overloaded even if all have just been restarted and discovery has not said so. Assumes that the usual
+// load of a node is no more than its full capacity.
+double SiteHealthMonitor::max_load_share(const Site& site, double now) const {
+  if (!in_slow_start(site) || slow_start_seconds_ <= 0) return 1;
+  const auto capacity = std::min(
+      1.0, start_capacity_ + (1 - start_capacity_) * (now - site.health_since) / slow_start_seconds_);
+  return std::clamp(kSlowStartLoadMargin * overload_multiple_ * capacity, 0.05, 1.0);
 }
 
-void Sites::grow(int number, double now) {
-  auto& site = at(number);
-  const auto most = bound(site, now);
-  site.share = std::min(site.share, std::max(most, kFirstShare * most));
-  // A router that hardly sends there has few says to wait for, and can't push anything over.
-  if (now < site.grown + (site.good_since >= kStepSays ? kStep : kQuietStep)) return;
-  // A site that half answers stays where it is.
-  if (site.bad_since <= site.good_since / 2) site.share = std::min(2 * site.share, most);
-  site.grown = now;
-  site.good_since = site.bad_since = 0;
-  if (site.share >= 1) enter(number, SiteBelief::sound, now);
+void SiteHealthMonitor::raise_load_share(int site_id, double now) {
+  auto& site = site_at(site_id);
+  const auto max_share = max_load_share(site, now);
+  site.load_share = std::min(site.load_share, std::max(max_share, kFirstLoadShare * max_share));
+  // A router that hardly sends anything there would wait long for answers, and can't overload the site.
+  if (now < site.last_step_at +
+                (site.successes_since_step >= kMinSuccessesPerStep ? kStepSeconds : kQuietStepSeconds))
+    return;
+  // The share is not raised while more than a third of the observations are failures.
+  if (site.failures_since_step <= site.successes_since_step / 2)
+    site.load_share = std::min(2 * site.load_share, max_share);
+  site.last_step_at = now;
+  site.successes_since_step = site.failures_since_step = 0;
+  if (site.load_share >= 1) set_health(site_id, SiteHealth::healthy, now);
 }
 
-void Sites::evacuate(const std::optional<Evacuation>& order) {
-  order_ = order;
+void SiteHealthMonitor::set_evacuation(const std::optional<Evacuation>& evacuation) {
+  evacuation_ = evacuation;
 }
 
-// Linear in time, down and up again; held back while another site is lost, as what is left must bear that.
-void Sites::empty(double now) {
-  const auto other_lost = [&](int number) {
+// Moves the evacuated share linearly in time, up while the order holds and down after it. The evacuation is
+// held back while another site is lost, as the remaining sites must carry that site's load.
+void SiteHealthMonitor::apply_evacuation(double now) {
+  const auto other_lost = [&](int site_id) {
     for (std::size_t i = 0; i < sites_.size(); ++i)
-      if (static_cast<int>(i) != number &&
-          (sites_[i].belief == SiteBelief::lost || sites_[i].belief == SiteBelief::cut_off))
+      if (static_cast<int>(i) != site_id &&
+          (sites_[i].health == SiteHealth::lost || sites_[i].health == SiteHealth::cut_off))
         return true;
     return false;
   };
   for (std::size_t i = 0; i < sites_.size(); ++i) {
     auto& site = sites_[i];
-    const auto number = static_cast<int>(i);
-    const auto ordered = order_ && order_->site == number && now >= order_->from && now < order_->until;
-    if (!ordered && site.evacuated <= 0) continue;
-    const auto over = order_ ? std::max(order_->over, 1e-3) : 1;
-    const auto held = ordered && other_lost(number);
-    const auto step = (now - ticked_) / over;
-    const auto goal = ordered && !held ? 1.0 : 0.0;
-    const auto before = site.evacuated;
-    site.evacuated = goal > before ? std::min(before + step, goal) : std::max(before - step, goal);
-    // Where a restarted router went down from its full share once more, it found the emptied site idle, and
-    // sent it more than ever.
-    if (goal > 0 && std::exchange(order_->stands, false)) site.evacuated = 1;
-    if (held != site.held_back) {
-      site.held_back = held;
-      news_.push_back({number, site.belief, site.belief, now, now - site.since, site.nodes, site.bad,
-                       site.refused, site.evidence, usual(site), 1 - site.evacuated, false, held});
+    const auto site_id = static_cast<int>(i);
+    const auto ordered = evacuation_ && evacuation_->site == site_id && now >= evacuation_->starts_at &&
+                         now < evacuation_->ends_at;
+    if (!ordered && site.evacuated_share <= 0) continue;
+    const auto ramp_seconds = evacuation_ ? std::max(evacuation_->ramp_seconds, 1e-3) : 1;
+    const auto held_back = ordered && other_lost(site_id);
+    const auto step = (now - last_tick_) / ramp_seconds;
+    const auto goal = ordered && !held_back ? 1.0 : 0.0;
+    const auto before = site.evacuated_share;
+    site.evacuated_share = goal > before ? std::min(before + step, goal) : std::max(before - step, goal);
+    // A router that is restarted during an evacuation starts with an empty share. If it ramped down from the
+    // full share again, it would find the emptied site idle and send it more than ever.
+    if (goal > 0 && std::exchange(evacuation_->already_in_effect, false)) site.evacuated_share = 1;
+    if (held_back != site.evacuation_held_back) {
+      site.evacuation_held_back = held_back;
+      changes_.push_back({site_id, site.health, site.health, now, now - site.health_since, site.node_count,
+                          site.failing_nodes, site.refused_nodes, site.evidence, baseline_failure_share(site),
+                          1 - site.evacuated_share, false, held_back});
     }
-    if (site.evacuated >= 1 && before < 1 && site.belief == SiteBelief::sound)
-      enter(number, SiteBelief::evacuated, now);
-    if (site.evacuated < 1 && site.belief == SiteBelief::evacuated) enter(number, SiteBelief::sound, now);
+    if (site.evacuated_share >= 1 && before < 1 && site.health == SiteHealth::healthy)
+      set_health(site_id, SiteHealth::evacuated, now);
+    if (site.evacuated_share < 1 && site.health == SiteHealth::evacuated)
+      set_health(site_id, SiteHealth::healthy, now);
   }
 }
 
-void Sites::tick(double now) {
-  if (!on_ || sites_.size() < 2) return;
-  if (ticked_ < 0) ticked_ = now;
-  const auto still = now - ticked_ > kStill;
-  if (still) awake_ = now;
-  const auto faded = std::exp(-(now - ticked_) / kLate);
+void SiteHealthMonitor::tick(double now) {
+  if (!enabled_ || sites_.size() < 2) return;
+  if (last_tick_ < 0) last_tick_ = now;
+  const auto stalled = now - last_tick_ > kStallSeconds;
+  if (stalled) resumed_at_ = now;
+  const auto decay = std::exp(-(now - last_tick_) / kObservationDecaySeconds);
   for (auto& site : sites_) {
-    site.good_says *= faded;
-    site.bad_says *= faded;
+    site.recent_successes *= decay;
+    site.recent_failures *= decay;
   }
   for (auto& node : nodes_) {
-    if (still) node.silent = 0;
-    if (node.out == 0 || node.site == kNone || !node.up) continue;
-    // Silence is counted from when the router could hear again.
-    if (still) node.waits_from = now;
-    if (now - node.waits_from > patience())
-      say(node, true, false, overdue_from(node.waits_from, now), 0, now);
+    if (stalled) node.unanswered_wait = 0;
+    if (node.pending_calls == 0 || node.site == kNone || !node.up) continue;
+    // After a stall, silence is counted from when the router could read answers again.
+    if (stalled) node.waiting_since = now;
+    if (now - node.waiting_since > silence_timeout())
+      record_observation(node, true, false, overdue_sent_from(node.waiting_since, now), 0, now);
   }
   for (std::size_t i = 0; i < sites_.size(); ++i) {
-    const auto number = static_cast<int>(i);
-    weigh(number, now);
-    if (sites_[i].belief == SiteBelief::returning) grow(number, now);
+    const auto site_id = static_cast<int>(i);
+    evaluate(site_id, now);
+    if (sites_[i].health == SiteHealth::returning) raise_load_share(site_id, now);
   }
-  empty(now);
-  ticked_ = now;
-  share_out(now);
+  apply_evacuation(now);
+  last_tick_ = now;
+  update_shares(now);
 }
 
-void Sites::share_out(double now) {
-  const auto plain = std::all_of(sites_.begin(), sites_.end(), [](const Site& site) {
-    return (site.belief == SiteBelief::sound || site.belief == SiteBelief::doubted) && site.evacuated <= 0;
+void SiteHealthMonitor::update_shares(double now) {
+  const auto unrestricted = std::all_of(sites_.begin(), sites_.end(), [](const Site& site) {
+    return (site.health == SiteHealth::healthy || site.health == SiteHealth::suspected) &&
+           site.evacuated_share <= 0;
   });
-  if (plain && shares_.empty()) return;
-  std::vector<SiteShare> fresh;
-  if (!plain)
+  if (unrestricted && shares_.empty()) return;
+  std::vector<SiteShare> shares;
+  if (!unrestricted)
     for (const auto& site : sites_) {
-      const auto lost = site.belief == SiteBelief::lost || site.belief == SiteBelief::cut_off;
-      const auto share = lost ? 0 : site.belief == SiteBelief::returning ? site.share : 1;
-      // An order concerns new processes too; a loss does not.
-      fresh.push_back({lost, lost && now >= site.trial_at, share * (1 - site.evacuated),
-                       site.evacuated > 0 ? std::numeric_limits<double>::max() : site.lost_at});
+      const auto lost = site.health == SiteHealth::lost || site.health == SiteHealth::cut_off;
+      const auto share = lost ? 0 : site.health == SiteHealth::returning ? site.load_share : 1;
+      // An evacuation applies to newly started processes too; a loss applies only to those started before it.
+      shares.push_back({lost, lost && now >= site.next_probe_at, share * (1 - site.evacuated_share),
+                        site.evacuated_share > 0 ? std::numeric_limits<double>::max() : site.lost_at});
     }
-  shares_ = std::move(fresh);
-  changed_ = true;
+  shares_ = std::move(shares);
+  shares_changed_ = true;
 }
 
-bool Sites::changed() {
-  return std::exchange(changed_, false);
+bool SiteHealthMonitor::take_shares_changed() {
+  return std::exchange(shares_changed_, false);
 }
 
-std::vector<SiteNews> Sites::news() {
-  return std::exchange(news_, {});
+std::vector<SiteHealthChange> SiteHealthMonitor::take_changes() {
+  return std::exchange(changes_, {});
 }
 
-SiteBelief Sites::belief(int site) const {
+SiteHealth SiteHealthMonitor::health(int site) const {
   return site >= 0 && static_cast<std::size_t>(site) < sites_.size()
-             ? sites_[static_cast<std::size_t>(site)].belief
-             : SiteBelief::sound;
+             ? sites_[static_cast<std::size_t>(site)].health
+             : SiteHealth::healthy;
 }
 
 }  // namespace yoketurn
--- a/src/sites/sites.hpp
+++ b/src/sites/sites.hpp
@@ -1,12 +1,14 @@
-// What is believed of whole sites (zones of the list): whether one is lost or cut off, when it comes back,
-// and how much of what would go there may. No I/O; the caller tells what was sent, how it ended and the time.
+// Health of whole sites (zones of the node list): detects that a site is lost or that this router is cut off,
+// notices the recovery, and limits the share of traffic that a recovering or evacuated site gets. No I/O; the
+// caller reports which calls were sent, how they ended, and the time.
 //
-// A site's nodes bear witness together: each node has one say, good (it answered) or bad (its connection was
-// refused or broke, or a part has waited there longer than nearly all do), until its say changes. A site's
-// evidence is Page's cumulative sum (E. S. Page, Continuous inspection schemes, Biometrika 41, 1954) of the
-// log likelihood of these says between a site that is lost and one that is as usual, where usual is learned,
-// and is what the other sites say at the same time: a slow fleet is no lost site. Times are seconds, shares 0
-// to 1.
+// The nodes of a site are observed together. Each node has one current state: answering, or failing (its
+// connection was refused or broke, or a part has waited there longer than nearly all parts do). Only a change
+// of that state counts as an observation. A site's evidence is Page's cumulative sum (E. S. Page, Continuous
+// inspection schemes, Biometrika 41, 1954) of the log likelihood ratio of these observations between a lost
+// site and a site that behaves as usual. The usual failure share is learned and is at least what the other
+// sites show at the same time, so that a slow fleet is not taken for a lost site. Times are in seconds,
+// shares from 0 to 1.
 #pragma once
 
 #include <cstdint>
@@ -19,118 +21,131 @@
 
 namespace yoketurn {
 
-// doubted: half of the evidence is there; nothing is done about it. cut_off: all sites but the router's own
-// are lost: it is this router's site that stands alone. Both are handled as lost.
-enum class SiteBelief : std::uint8_t { sound, doubted, lost, cut_off, returning, evacuated };
+enum class SiteHealth : std::uint8_t {
+  healthy,
+  suspected,  // half of the evidence for a loss is there; traffic is not changed
+  lost,
+  cut_off,    // all sites but the router's own are lost, so its own site is isolated; handled as lost
+  returning,  // a lost site that answers again and gets a growing share of its load
+  evacuated   // emptied by an operator's order
+};
 
-// A change of belief, with what it hung on.
-struct SiteNews {
+// A change of a site's health, with the figures it rests on.
+struct SiteHealthChange {
   int site = kNone;
-  SiteBelief before = SiteBelief::sound, now = SiteBelief::sound;
-  double at = 0, lasted = 0;       // and how long the one before lasted
-  int nodes = 0, bad = 0;          // of the site; of those, with a bad say
-  int refused = 0;                 // of the bad: by a connection
-  double evidence = 0, usual = 0;  // log likelihood; share of bad says that is usual
-  double share = 1;                // of its load it may get now
-  bool cold = false;               // returning: its answers are those of cold nodes
-  bool held_back = false;          // an evacuation waits, as another site is lost
+  SiteHealth previous = SiteHealth::healthy, current = SiteHealth::healthy;
+  double changed_at = 0;
+  double previous_seconds = 0;  // how long the previous state lasted
+  int node_count = 0;           // nodes of the site that are listed as up
+  int failing_nodes = 0;
+  int refused_nodes = 0;  // of the failing nodes: those whose connection was refused or broke
+  double evidence = 0;    // log likelihood ratio
+  double baseline_failure_share = 0;
+  double load_share = 1;              // share of its usual load that the site may get now
+  bool in_slow_start = false;         // returning: its latency is that of nodes in slow start
+  bool evacuation_held_back = false;  // an evacuation waits because another site is lost
 };
 
-// An operators' order: the site is emptied from `from` on over `over` seconds, and filled again from `until`
-// on.
+// An operator's order to empty a site.
 struct Evacuation {
   int site = kNone;
-  double from = 0, over = 0, until = 0;
-  bool stands = false;  // it did before this process began: its site is empty already
+  double starts_at = 0;
+  double ramp_seconds = 0;         // time in which the site is emptied, and in which it is filled again
+  double ends_at = 0;              // from when on the site is filled again
+  bool already_in_effect = false;  // it began before this process did, so the site is empty already
   bool operator==(const Evacuation&) const = default;
 };
 
-// From the first answer of a lost site until it gets all its load again, where all goes well.
-double return_time(const Settings& settings, bool cold);
+// Seconds from the first answer of a lost site until it gets its full load again, if nothing fails meanwhile.
+double recovery_seconds(const Settings& settings, bool slow_start);
 
-class Sites {
+class SiteHealthMonitor {
  public:
-  // own: the router's site, or kNone.
-  Sites(const Settings& settings, std::uint64_t seed);
+  SiteHealthMonitor(const Settings& settings, std::uint64_t seed);
 
-  void on(bool on);  // off: all sites count as sound, nothing is told
-  void list(std::span<const Host> hosts, bool complete, double now);
-  void forget(int node);
-  void sent(int node, double now);
-  // Of a call that was sent at `sent`.
-  void ended(int node, double sent, Outcome outcome, double now);
-  void evacuate(const std::optional<Evacuation>& order);
+  // While disabled all sites count as healthy and no change is reported.
+  void set_enabled(bool enabled);
+  // complete: the list replaces the previous one; nodes that it does not name are no longer up.
+  void update_nodes(std::span<const Host> hosts, bool complete, double now);
+  void remove_node(int node);
+  void on_call_sent(int node, double now);
+  void on_call_ended(int node, double sent_at, Outcome outcome, double now);
+  // nullopt: there is no order; a site that was evacuated is filled again.
+  void set_evacuation(const std::optional<Evacuation>& evacuation);
   void tick(double now);
 
-  // By site; empty: nothing is believed that would change a choice.
+  // Indexed by site; empty: traffic is not restricted anywhere.
   std::span<const SiteShare> shares() const { return shares_; }
-  bool changed();  // since the last call
-  std::vector<SiteNews> news();
-  SiteBelief belief(int site) const;
-  std::size_t many() const { return sites_.size(); }
+  bool take_shares_changed();  // whether shares() may have changed since the last call
+  std::vector<SiteHealthChange> take_changes();
+  SiteHealth health(int site) const;
+  std::size_t site_count() const { return sites_.size(); }
 
  private:
   struct Node {
     int site = kNone;
     bool up = false;
-    double born = 0;
-    int out = 0;            // calls without an end
-    double waits_from = 0;  // since the last answer; 0: nothing is out
-    double silent = 0;      // what calls that were given up waited in vain since the last answer, in all
-    bool bad = false;       // its say
-    bool refused = false;
-    int round = 0;          // of its site, in which it was last bad
-    double good_sent = -1;  // when the latest part it has answered was sent
+    double started_at = 0;
+    int pending_calls = 0;
+    double waiting_since = 0;  // since when calls wait without any answer; 0: no call is pending
+    // Total time that calls given up since the last answer have waited.
+    double unanswered_wait = 0;
+    bool failing = false;
+    bool connection_refused = false;    // failing because its connection was refused or broke
+    int evidence_round = 0;             // the site's round in which the node was last failing
+    double last_answered_sent_at = -1;  // send time of the latest part it has answered
   };
   struct Site {
-    SiteBelief belief = SiteBelief::sound;
-    double since = 0;
+    SiteHealth health = SiteHealth::healthy;
+    double health_since = 0;
     double lost_at = 0;
-    int nodes = 0;
-    int round = 1;  // the evidence began anew so often
-    int bad = 0, refused = 0;
-    double bad_from = 0;  // from when on parts were sent that the first of these left without an answer
+    int node_count = 0;
+    int evidence_round = 1;  // incremented when the evidence starts again from zero
+    int failing_nodes = 0, refused_nodes = 0;
+    double failing_sent_from = 0;  // send time of the oldest part that the failing nodes left unanswered
     double evidence = 0;
-    double usual_bad = 0;                // share of bad says, smoothed
-    double good_says = 0, bad_says = 0;  // of late
-    double share = 1, grown = 0;         // while it returns
-    int good_since = 0, bad_since = 0;   // the last step
-    double latency = 0;                  // of its answers since it returns
-    double pause = 0, trial_at = 0;      // between two trials, and the next one
-    double back_since = 0;
-    double evacuated = 0;  // share that is taken away by order
-    bool held_back = false;
+    double baseline_failure_share = 0;                 // smoothed
+    double recent_successes = 0, recent_failures = 0;  // observations, decaying
+    double load_share = 1, last_step_at = 0;           // while it returns
+    int successes_since_step = 0, failures_since_step = 0;
+    double recovery_latency = 0;  // smoothed latency of its answers since it returns; 0: none yet
+    double probe_interval = 0, next_probe_at = 0;
+    double recovered_at = 0;     // when it last became healthy after a loss
+    double evacuated_share = 0;  // share of its load that the order takes away
+    bool evacuation_held_back = false;
   };
 
-  Site& at(int site) { return sites_[static_cast<std::size_t>(site)]; }
-  Node* known(int node);
-  void say(Node& node, bool bad, bool refused, double sent, double latency, double now);
-  int answered_since(int site, double sent) const;
-  bool others_answer(int site, double sent) const;
-  double patience() const;
-  double overdue_from(double waits_from, double now) const;
-  double usual(const Site& site) const;
-  void weigh(int site, double now);
-  void enter(int site, SiteBelief belief, double now);
-  bool cold(const Site& site) const;
-  double bound(const Site& site, double now) const;
-  void grow(int site, double now);
-  void empty(double now);
-  void share_out(double now);
+  Site& site_at(int site) { return sites_[static_cast<std::size_t>(site)]; }
+  Node* find_tracked_node(int node);
+  void record_observation(Node& node, bool failing, bool connection_refused, double sent_at, double latency,
+                          double now);
+  int nodes_answering_since(int site, double sent_at) const;
+  bool other_sites_answer(int site, double sent_at) const;
+  double silence_timeout() const;
+  double overdue_sent_from(double waiting_since, double now) const;
+  double baseline_failure_share(const Site& site) const;
+  void evaluate(int site, double now);
+  void set_health(int site, SiteHealth health, double now);
+  bool in_slow_start(const Site& site) const;
+  double max_load_share(const Site& site, double now) const;
+  void raise_load_share(int site, double now);
+  void apply_evacuation(double now);
+  void update_shares(double now);
 
-  int own_;
-  double start_, cold_time_, fall_;
-  std::ranlux24_base chance_;
-  bool on_ = true;
+  int own_site_;  // kNone: the router belongs to no site
+  double start_capacity_, slow_start_seconds_, overload_multiple_;
+  std::ranlux24_base random_;
+  bool enabled_ = true;
   std::vector<Node> nodes_;
   std::vector<Site> sites_;
   std::vector<SiteShare> shares_;
-  std::vector<SiteNews> news_;
-  std::optional<Evacuation> order_;
-  double latency_ = 0, deviation_ = 0;  // of answers from sites that are sound, smoothed
-  int answers_ = 0;                     // that these are made of, to kWarm
-  double ticked_ = -1, awake_ = 0;
-  bool changed_ = false;
+  std::vector<SiteHealthChange> changes_;
+  std::optional<Evacuation> evacuation_;
+  double mean_latency_ = 0, latency_deviation_ = 0;  // smoothed, of answers from sites that are not lost
+  int latency_samples_ = 0;                          // counted up to kMinLatencySamples
+  double last_tick_ = -1;                            // -1: there was none
+  double resumed_at_ = 0;                            // when the router last resumed after a stall
+  bool shares_changed_ = false;
 };
 
 }  // namespace yoketurn
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -199,17 +199,17 @@
   timeline_.record(e);
 }
 
-void Recorder::site(const std::string& name, const SiteNews& news) {
+void Recorder::site(const std::string& name, const SiteHealthChange& news) {
   const auto [line, fresh] = sites_.try_emplace(name, kNoLine);
-  if (fresh) line->second = timeline_.open("site:" + name, "", news.at);
+  if (fresh) line->second = timeline_.open("site:" + name, "", news.changed_at);
   if (line->second == kNoLine) return;
-  auto e = event(What::site, line->second, static_cast<std::uint8_t>(news.now), news.at);
+  auto e = event(What::site, line->second, static_cast<std::uint8_t>(news.current), news.changed_at);
   e.a = static_cast<float>(news.evidence);
-  e.b = static_cast<float>(news.share);
-  e.c = static_cast<float>(news.bad);
-  e.leaf = static_cast<std::uint16_t>(news.nodes);
-  e.call = static_cast<std::uint16_t>(news.refused);
-  e.query = news.held_back ? 1 : 0;
+  e.b = static_cast<float>(news.load_share);
+  e.c = static_cast<float>(news.failing_nodes);
+  e.leaf = static_cast<std::uint16_t>(news.node_count);
+  e.call = static_cast<std::uint16_t>(news.refused_nodes);
+  e.query = news.evacuation_held_back ? 1 : 0;
   timeline_.record(e);
 }
 
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -39,7 +39,7 @@
   void door(What what, std::uint8_t why, int connection, std::uint32_t address, double a, double b,
             double now);
   void version(Subject subject, const Version& version, std::uint64_t interval, double now);
-  void site(const std::string& name, const SiteNews& news);
+  void site(const std::string& name, const SiteHealthChange& news);
   void loop(What what, std::uint8_t why, double a, double b, double now);
 
   // Departures that are new; the clock against the common one.
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -207,10 +207,10 @@
       std::set<int> gone;
       for (const auto& belief : p.beliefs) {
         if (belief.router != router || belief.at < kCutFrom || belief.at >= kCutUntil) continue;
-        if (belief.now != SiteBelief::lost && belief.now != SiteBelief::cut_off) continue;
+        if (belief.now != SiteHealth::lost && belief.now != SiteHealth::cut_off) continue;
         CHECK((belief.site == kRennes || belief.site == kVannes));
         gone.insert(belief.site);
-        CHECK((belief.now == SiteBelief::cut_off) == (gone.size() == 2));
+        CHECK((belief.now == SiteHealth::cut_off) == (gone.size() == 2));
       }
       cut_off += gone.size() == 2;
     }
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -16,13 +16,13 @@
 cmake -S "$work/tree" -B "$work/build" -DCMAKE_BUILD_TYPE=Release -DYOKETURN_TESTS=ON -DYOKETURN_RIG=ON -DYOKETURN_FLEET=ON >/dev/null
 table() {
   grep -v '^ *#' <<'TABLE'
-return-at-once   @ src/sites/sites.cpp      @ s/kFirstShare = 0.25;/kFirstShare = 1;/ @ yoketurn_tests @ -ts=sites -tc=*return is paced*
-one-node         @ src/sites/sites.cpp      @ s/kFewNodes = 8; /kFewNodes = 1; /; s/kDoubted = 4;/kDoubted = 1;/; s/std::max\(2, fewest\)/std::min(1, fewest)/; s/site.evidence >= kLost \|\|/site.evidence >= -kLost ||/ @ yoketurn_tests @ -ts=sites -tc=*what is no loss*
-no-control       @ src/sites/sites.cpp      @ s/return good >= kControl && good >= bad;/return true;/ @ yoketurn_tests @ -ts=sites -tc=*what is no loss*
-good-forgotten   @ src/sites/sites.cpp      @ s/site.bad >= kVoices \* \(site.bad \+ good\) && // @ yoketurn_tests @ -ts=sites -tc=*half of which hangs*
-outrun-forgotten @ src/sites/sites.cpp      @ s/node->silent = now - waited;/node->silent = 0;/ @ yoketurn_tests @ -ts=sites -tc=*quicker copy*
-old-silence      @ src/sites/sites.cpp      @ s/if \(node.site == number\) node.silent = 0;/node.silent += 0;/ @ yoketurn_tests @ -ts=sites -tc=*quicker copy*
-list-is-life     @ src/sites/sites.cpp      @ s/if \(lost && host.born > at\(site\).lost_at\)/if (lost)/ @ yoketurn_tests @ -ts=sites -tc=*no sign of life*
+return-at-once   @ src/sites/sites.cpp      @ s/kFirstLoadShare = 0.25;/kFirstLoadShare = 1;/ @ yoketurn_tests @ -ts=sites -tc=*return is paced*
+one-node         @ src/sites/sites.cpp      @ s/kMinFailingNodes = 8; /kMinFailingNodes = 1; /; s/kSuspectedEvidence = 4;/kSuspectedEvidence = 1;/; s/std::max\(2, min_failing\)/std::min(1, min_failing)/; s/site.evidence >= kLostEvidence \|\|/site.evidence >= -kLostEvidence ||/ @ yoketurn_tests @ -ts=sites -tc=*what is no loss*
+no-control       @ src/sites/sites.cpp      @ s/return answering >= kMinAnsweringElsewhere && answering >= failing;/return true;/ @ yoketurn_tests @ -ts=sites -tc=*what is no loss*
+good-forgotten   @ src/sites/sites.cpp      @ s/site.failing_nodes >= kMinFailingShare \* \(site.failing_nodes \+ answering\) &&\s+// @ yoketurn_tests @ -ts=sites -tc=*half of which hangs*
+outrun-forgotten @ src/sites/sites.cpp      @ s/node->unanswered_wait = now - waiting_since;/node->unanswered_wait = 0;/ @ yoketurn_tests @ -ts=sites -tc=*quicker copy*
+old-silence      @ src/sites/sites.cpp      @ s/if \(node.site == site_id\) node.unanswered_wait = 0;/node.unanswered_wait += 0;/ @ yoketurn_tests @ -ts=sites -tc=*quicker copy*
+list-is-life     @ src/sites/sites.cpp      @ s/if \(lost && host.born > site_at\(site\).lost_at\)/if (lost)/ @ yoketurn_tests @ -ts=sites -tc=*no sign of life*
 dear-first       @ src/policy/admission.cpp @ s/mean_density \/ std::max\(density, 1e-9\)/std::max(density, 1e-9) \/ mean_density/ @ yoketurn_tests @ -ts=brain -tc=under strain queries are refused*
 no-term          @ src/versions/service.cpp @ s/if \(order.term < last_.term\) return Verdict::lower_term;// @ yoketurn_tests @ -ts=versions
 last-of-site     @ src/audit/overseer.cpp   @ s/in_site - out_of_site <= 1/in_site - out_of_site <= 0/ @ yoketurn_fleet_tests @ -ts=audit -tc=guards: who*
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -1,4 +1,5 @@
-// What is believed of whole sites, on seeded streams of parts with losses planted.
+// Site health under seeded random streams of calls with injected site failures, and the forecast of site
+// losses.
 #include "sites/sites.hpp"
 
 #include <doctest/doctest.h>
@@ -15,15 +16,17 @@
 
 namespace {
 
-enum class Fate { answers, refuses, silent, slow, full, outrun };
+// outpaced: the node is silent, and each call is cancelled soon as a hedged copy elsewhere has answered.
+enum class Behavior { answers, refuses, silent, slow, overloaded, outpaced };
 
-// A router's view of a town: parts go to nodes at random, as far as their site's share lets them.
-struct Town {
-  explicit Town(int sites = 3, int nodes = 8, int own = 0, unsigned seed = 5)
-      : many(sites), per_site(nodes), chance(seed), view(settings(own), seed) {
-    for (int n = 0; n < sites * nodes; ++n) hosts.push_back({n, n / nodes, 0, true, 0});
-    fate.assign(hosts.size(), Fate::answers);
-    view.list(hosts, true, now);
+// One router's health monitor over simulated nodes. Calls go to random nodes, as far as the share of their
+// site permits.
+struct TestCluster {
+  explicit TestCluster(int site_count = 3, int nodes = 8, int own = 0, unsigned seed = 5)
+      : nodes_per_site(nodes), random(seed), monitor(settings(own), seed) {
+    for (int n = 0; n < site_count * nodes; ++n) hosts.push_back({n, n / nodes, 0, true, 0});
+    behavior.assign(hosts.size(), Behavior::answers);
+    monitor.update_nodes(hosts, true, now);
   }
   static Settings settings(int own) {
     Settings s;
@@ -33,450 +36,466 @@
     s.fall_multiple = 2;
     return s;
   }
-  void site(int which, Fate what) {
-    for (int n = 0; n < per_site; ++n) fate[static_cast<std::size_t>(which * per_site + n)] = what;
+  void set_site_behavior(int site, Behavior what) {
+    for (int n = 0; n < nodes_per_site; ++n)
+      behavior[static_cast<std::size_t>(site * nodes_per_site + n)] = what;
   }
-  bool lost(int which) const {
-    const auto shares = view.shares();
-    return !shares.empty() && shares[static_cast<std::size_t>(which)].lost;
+  bool lost(int site) const {
+    const auto shares = monitor.shares();
+    return !shares.empty() && shares[static_cast<std::size_t>(site)].lost;
   }
-  double share(int which) const {
-    const auto shares = view.shares();
-    return shares.empty() ? 1 : shares[static_cast<std::size_t>(which)].share;
+  double share(int site) const {
+    const auto shares = monitor.shares();
+    return shares.empty() ? 1 : shares[static_cast<std::size_t>(site)].share;
   }
-  // So many parts a second, each to a node of a site that may get it.
+  // Sends calls at this rate, in calls per second.
   void run(double seconds, double rate = 200) {
     for (const auto end = now + seconds; now < end;) {
       now += 1 / rate;
-      while (!due.empty() && due.front().at <= now) finish();
-      if (now >= ticked + 0.1) {
-        ticked = now;
-        view.tick(now);
-        for (auto& news : view.news()) all_news.push_back(news);
+      while (!pending.empty() && pending.front().ends_at <= now) end_next_call();
+      if (now >= last_tick + 0.1) {
+        last_tick = now;
+        monitor.tick(now);
+        for (auto& change : monitor.take_changes()) changes.push_back(change);
       }
-      const auto node = static_cast<int>(chance() % fate.size());
-      const auto of = node / per_site;
-      const auto shares = view.shares();
+      const auto node = static_cast<int>(random() % behavior.size());
+      const auto site = node / nodes_per_site;
+      const auto shares = monitor.shares();
       if (!shares.empty()) {
-        const auto& s = shares[static_cast<std::size_t>(of)];
+        const auto& s = shares[static_cast<std::size_t>(site)];
         const auto born = hosts[static_cast<std::size_t>(node)].born;
         if (born <= s.since && s.lost && !s.trial) continue;
-        if (born <= s.since && !s.lost && std::uniform_real_distribution<>(0, 1)(chance) >= s.share) continue;
+        if (born <= s.since && !s.lost && std::uniform_real_distribution<>(0, 1)(random) >= s.share) continue;
       }
       send(node);
     }
   }
   void send(int node) {
-    view.sent(node, now);
-    ++sent_to[static_cast<std::size_t>(node / per_site)];
-    const auto what = fate[static_cast<std::size_t>(node)];
-    const auto took = 0.01 + std::exponential_distribution<>(1 / 0.01)(chance);
-    const auto [after, outcome] = what == Fate::answers   ? std::pair{took * slow, Outcome::success}
-                                  : what == Fate::refuses ? std::pair{0.001, Outcome::unreachable}
-                                  : what == Fate::full    ? std::pair{0.002, Outcome::overloaded}
-                                  : what == Fate::slow    ? std::pair{took * 8, Outcome::success}
-                                  : what == Fate::outrun  ? std::pair{0.03, Outcome::cancelled}
-                                                          : std::pair{1.0, Outcome::timed_out};
-    const Due one{now + after, now, node, outcome};
-    due.insert(std::upper_bound(due.begin(), due.end(), one, [](auto& a, auto& b) { return a.at < b.at; }),
-               one);
+    monitor.on_call_sent(node, now);
+    ++calls_to_site[static_cast<std::size_t>(node / nodes_per_site)];
+    const auto node_behavior = behavior[static_cast<std::size_t>(node)];
+    const auto latency = 0.01 + std::exponential_distribution<>(1 / 0.01)(random);
+    const auto [after, outcome] =
+        node_behavior == Behavior::answers      ? std::pair{latency * latency_factor, Outcome::success}
+        : node_behavior == Behavior::refuses    ? std::pair{0.001, Outcome::unreachable}
+        : node_behavior == Behavior::overloaded ? std::pair{0.002, Outcome::overloaded}
+        : node_behavior == Behavior::slow       ? std::pair{latency * 8, Outcome::success}
+        : node_behavior == Behavior::outpaced   ? std::pair{0.03, Outcome::cancelled}
+                                                : std::pair{1.0, Outcome::timed_out};
+    const PendingCall call{now + after, now, node, outcome};
+    pending.insert(std::upper_bound(pending.begin(), pending.end(), call,
+                                    [](auto& a, auto& b) { return a.ends_at < b.ends_at; }),
+                   call);
   }
-  void finish() {
-    const auto one = due.front();
-    due.pop_front();
-    view.ended(one.node, one.sent, one.outcome, now);
+  void end_next_call() {
+    const auto call = pending.front();
+    pending.pop_front();
+    monitor.on_call_ended(call.node, call.sent_at, call.outcome, now);
   }
-  int times(int which, SiteBelief belief) const {
-    return static_cast<int>(std::count_if(all_news.begin(), all_news.end(), [&](const SiteNews& n) {
-      return n.site == which && n.now == belief && n.before != belief;
+  int change_count(int site, SiteHealth health) const {
+    return static_cast<int>(std::count_if(changes.begin(), changes.end(), [&](const SiteHealthChange& n) {
+      return n.site == site && n.current == health && n.previous != health;
     }));
   }
-  double first(SiteBelief belief, double from = 0) const {
-    for (const auto& n : all_news)
-      if (n.now == belief && n.at >= from) return n.at;
+  double first_change(SiteHealth health, double from = 0) const {
+    for (const auto& n : changes)
+      if (n.current == health && n.changed_at >= from) return n.changed_at;
     return std::numeric_limits<double>::infinity();
   }
 
-  struct Due {
-    double at, sent;
+  struct PendingCall {
+    double ends_at, sent_at;
     int node;
     Outcome outcome;
   };
-  int many, per_site;
-  std::mt19937 chance;
-  double now = 100, ticked = 100, slow = 1;
+  int nodes_per_site;
+  std::mt19937 random;
+  double now = 100, last_tick = 100, latency_factor = 1;
   std::vector<Host> hosts;
-  std::vector<Fate> fate;
-  std::deque<Due> due;
-  std::vector<SiteNews> all_news;
-  int sent_to[8] = {};
-  Sites view;
+  std::vector<Behavior> behavior;
+  std::deque<PendingCall> pending;
+  std::vector<SiteHealthChange> changes;
+  int calls_to_site[8] = {};
+  SiteHealthMonitor monitor;
 };
 
 }  // namespace
 
 TEST_SUITE_BEGIN("sites");
 
-TEST_CASE("a lost site is found by its nodes together, however it fails") {
-  for (const auto what : {Fate::refuses, Fate::silent}) {
-    Town town;
-    town.run(5);
-    CHECK(town.view.shares().empty());
-    town.site(1, what);
-    const auto began = town.now;
-    town.run(2);
-    CHECK(town.lost(1));
-    CHECK_FALSE(town.lost(0));
-    CHECK_FALSE(town.lost(2));
-    CHECK(town.first(SiteBelief::lost) - began < 0.6);
-    CHECK(town.times(1, SiteBelief::lost) == 1);
+TEST_CASE("a lost site is detected from its nodes together, however it fails") {
+  for (const auto what : {Behavior::refuses, Behavior::silent}) {
+    TestCluster cluster;
+    cluster.run(5);
+    CHECK(cluster.monitor.shares().empty());
+    cluster.set_site_behavior(1, what);
+    const auto began = cluster.now;
+    cluster.run(2);
+    CHECK(cluster.lost(1));
+    CHECK_FALSE(cluster.lost(0));
+    CHECK_FALSE(cluster.lost(2));
+    CHECK(cluster.first_change(SiteHealth::lost) - began < 0.6);
+    CHECK(cluster.change_count(1, SiteHealth::lost) == 1);
   }
 }
 
-struct Sound {
+struct NoLossCase {
   const char* what;
-  std::function<void(Town&)> act;
+  std::function<void(TestCluster&)> act;
 };
 
 TEST_CASE("what is no loss of a site is taken for none") {
-  const Sound cases[] = {
-      {"one node makes no site", [](Town& t) { t.fate[8] = Fate::silent; }},
-      {"two nodes make no site of eight", [](Town& t) { t.fate[8] = t.fate[9] = Fate::refuses; }},
+  const NoLossCase cases[] = {
+      {"one silent node is no lost site", [](TestCluster& t) { t.behavior[8] = Behavior::silent; }},
+      {"two refusing nodes of eight are no lost site",
+       [](TestCluster& t) { t.behavior[8] = t.behavior[9] = Behavior::refuses; }},
       {"half of a site hangs",
-       [](Town& t) {
-         for (int n = 8; n < 12; ++n) t.fate[static_cast<std::size_t>(n)] = Fate::silent;
+       [](TestCluster& t) {
+         for (int n = 8; n < 12; ++n) t.behavior[static_cast<std::size_t>(n)] = Behavior::silent;
        }},
-      {"a site that turns all away lives", [](Town& t) { t.site(1, Fate::full); }},
-      {"the fleet is slow", [](Town& t) { t.slow = 15; }},
-      {"all sites are silent: it is this router",
-       [](Town& t) {
-         for (int s = 0; s < 3; ++s) t.site(s, Fate::silent);
+      {"a site that is overloaded answers",
+       [](TestCluster& t) { t.set_site_behavior(1, Behavior::overloaded); }},
+      {"the fleet is slow", [](TestCluster& t) { t.latency_factor = 15; }},
+      {"all sites are silent: the fault is this router's",
+       [](TestCluster& t) {
+         for (int s = 0; s < 3; ++s) t.set_site_behavior(s, Behavior::silent);
        }},
   };
   for (const auto& one : cases) {
     CAPTURE(std::string(one.what));
-    Town town;
-    town.run(10);
-    one.act(town);
-    town.run(20);
+    TestCluster cluster;
+    cluster.run(10);
+    one.act(cluster);
+    cluster.run(20);
     for (int s = 0; s < 3; ++s)
-      CHECK(town.times(s, SiteBelief::lost) + town.times(s, SiteBelief::cut_off) == 0);
+      CHECK(cluster.change_count(s, SiteHealth::lost) + cluster.change_count(s, SiteHealth::cut_off) == 0);
   }
 }
 
-// A query of many parts asks all nodes at once: the good answers come first, the silence of the others after.
+// Guards against a false loss when a query of many parts calls all nodes at once: the answers arrive first,
+// and the other nodes are found silent only later.
 TEST_CASE("a site half of which hangs is not lost to a router that asks all of it at once") {
-  Town town(3, 20);
-  town.run(5);
-  for (int n = 20; n < 30; ++n) town.fate[static_cast<std::size_t>(n)] = Fate::silent;
+  TestCluster cluster(3, 20);
+  cluster.run(5);
+  for (int n = 20; n < 30; ++n) cluster.behavior[static_cast<std::size_t>(n)] = Behavior::silent;
   for (int i = 0; i < 8; ++i) {
-    for (int n = 0; n < 60; ++n) town.send(n);
-    town.run(1, 20);
+    for (int n = 0; n < 60; ++n) cluster.send(n);
+    cluster.run(1, 20);
   }
-  CHECK(town.times(1, SiteBelief::lost) == 0);
+  CHECK(cluster.change_count(1, SiteHealth::lost) == 0);
 }
 
-// A copy is back, and the part at the silent node cancelled, before its silence says anything by itself: what
-// it had waited was forgotten, and the next call began from nothing.
+// Guards against a silent site that is never detected: hedged copies answer and the calls at the silent nodes
+// are cancelled before any one of them is overdue, so the waits of cancelled calls must add up.
 TEST_CASE("calls that are given up for a quicker copy tell of silence together") {
-  Town town;
-  town.run(5);
-  town.site(1, Fate::outrun);
-  town.run(1);
-  CHECK(town.lost(1));
-  // As it returns a query asks all of it at once; a tick comes before the answers: no relapse by old silence.
-  for (int i = 0; i < 24; ++i) town.send(8 + i % 8);
-  town.run(0.1);
-  town.site(1, Fate::answers);
-  while (town.lost(1)) town.run(0.005);
-  for (int n = 8; n < 16; ++n) town.send(n);
-  town.view.tick(town.now + 0.001);
-  town.run(10);
-  CHECK(town.times(1, SiteBelief::lost) == 1);
-  CHECK(town.view.belief(1) == SiteBelief::sound);
-  // Of nodes that answer between, nothing is held against them.
-  Town sound;
-  sound.run(5);
+  TestCluster cluster;
+  cluster.run(5);
+  cluster.set_site_behavior(1, Behavior::outpaced);
+  cluster.run(1);
+  CHECK(cluster.lost(1));
+  // When the site returns, a query calls all its nodes at once and a tick comes before the answers: waits
+  // from the time of the loss must not cause a relapse.
+  for (int i = 0; i < 24; ++i) cluster.send(8 + i % 8);
+  cluster.run(0.1);
+  cluster.set_site_behavior(1, Behavior::answers);
+  while (cluster.lost(1)) cluster.run(0.005);
+  for (int n = 8; n < 16; ++n) cluster.send(n);
+  cluster.monitor.tick(cluster.now + 0.001);
+  cluster.run(10);
+  CHECK(cluster.change_count(1, SiteHealth::lost) == 1);
+  CHECK(cluster.monitor.health(1) == SiteHealth::healthy);
+  // Cancelled calls of nodes that answer in between are no evidence.
+  TestCluster answering;
+  answering.run(5);
   for (int round = 0; round < 40; ++round) {
-    for (int n = 8; n < 16; ++n) sound.fate[static_cast<std::size_t>(n)] = Fate::outrun;
-    for (int n = 8; n < 16; ++n) sound.send(n);
-    for (int n = 8; n < 16; ++n) sound.fate[static_cast<std::size_t>(n)] = Fate::answers;
-    sound.run(0.5);
+    for (int n = 8; n < 16; ++n) answering.behavior[static_cast<std::size_t>(n)] = Behavior::outpaced;
+    for (int n = 8; n < 16; ++n) answering.send(n);
+    for (int n = 8; n < 16; ++n) answering.behavior[static_cast<std::size_t>(n)] = Behavior::answers;
+    answering.run(0.5);
   }
-  CHECK(sound.times(1, SiteBelief::lost) == 0);
+  CHECK(answering.change_count(1, SiteHealth::lost) == 0);
 }
 
-TEST_CASE("a router that stood still does not take its own silence for a site's") {
-  Town town;
-  town.run(5);
-  for (int n = 8; n < 16; ++n) town.send(n);
-  town.now += 20;
-  town.run(5);
-  CHECK(town.times(1, SiteBelief::lost) == 0);
+TEST_CASE("a router that stalled does not take its own silence for a site's") {
+  TestCluster cluster;
+  cluster.run(5);
+  for (int n = 8; n < 16; ++n) cluster.send(n);
+  cluster.now += 20;
+  cluster.run(5);
+  CHECK(cluster.change_count(1, SiteHealth::lost) == 0);
 }
 
 TEST_CASE("sites of one node, one site alone, nodes of no site") {
-  Town single(3, 1);
+  TestCluster single(3, 1);
   single.run(5);
-  single.site(1, Fate::refuses);
+  single.set_site_behavior(1, Behavior::refuses);
   single.run(5);
-  CHECK(single.times(1, SiteBelief::lost) == 0);  // a node by itself is the module's affair
-  Town two(3, 2);
+  CHECK(single.change_count(1, SiteHealth::lost) == 0);  // single nodes are the routing policy's task
+  TestCluster two(3, 2);
   two.run(5);
-  two.site(1, Fate::refuses);
+  two.set_site_behavior(1, Behavior::refuses);
   two.run(5);
-  CHECK(two.times(1, SiteBelief::lost) == 1);  // both of its nodes
-  Town alone(1, 8);
+  CHECK(two.change_count(1, SiteHealth::lost) == 1);  // both of its nodes
+  TestCluster alone(1, 8);
   alone.run(5);
-  alone.site(0, Fate::refuses);
+  alone.set_site_behavior(0, Behavior::refuses);
   alone.run(5);
-  CHECK(alone.view.shares().empty());
+  CHECK(alone.monitor.shares().empty());
   Settings s;
-  Sites none(s, 1);
+  SiteHealthMonitor none(s, 1);
   const Host host{0, kNone, 0, true, 0};
-  none.list({&host, 1}, true, 1);
-  none.sent(0, 1);
-  none.ended(0, 1, Outcome::unreachable, 1.1);
+  none.update_nodes({&host, 1}, true, 1);
+  none.on_call_sent(0, 1);
+  none.on_call_ended(0, 1, Outcome::unreachable, 1.1);
   none.tick(2);
   CHECK(none.shares().empty());
-  CHECK(none.news().empty());
+  CHECK(none.take_changes().empty());
 }
 
-TEST_CASE("a router whose own site is cut off says so and keeps to it") {
-  Town town;
-  town.run(5);
-  town.site(1, Fate::silent);
-  town.site(2, Fate::silent);
-  town.run(2);
-  CHECK(town.lost(1));
-  CHECK(town.lost(2));
-  CHECK_FALSE(town.lost(0));
-  CHECK(town.times(1, SiteBelief::cut_off) + town.times(2, SiteBelief::cut_off) == 1);
+TEST_CASE("a router whose own site is cut off reports so and keeps using it") {
+  TestCluster cluster;
+  cluster.run(5);
+  cluster.set_site_behavior(1, Behavior::silent);
+  cluster.set_site_behavior(2, Behavior::silent);
+  cluster.run(2);
+  CHECK(cluster.lost(1));
+  CHECK(cluster.lost(2));
+  CHECK_FALSE(cluster.lost(0));
+  CHECK(cluster.change_count(1, SiteHealth::cut_off) + cluster.change_count(2, SiteHealth::cut_off) == 1);
 }
 
-TEST_CASE("a lost site is tried as one site is: few parts, whatever its size") {
-  Town town(3, 20);
-  town.run(5);
-  town.site(1, Fate::refuses);
-  town.run(1);
-  REQUIRE(town.lost(1));
-  town.sent_to[1] = 0;
-  town.run(10);
-  CHECK(town.sent_to[1] >= 4);
-  CHECK(town.sent_to[1] <= 20);
+TEST_CASE("a lost site gets few probes, whatever its size") {
+  TestCluster cluster(3, 20);
+  cluster.run(5);
+  cluster.set_site_behavior(1, Behavior::refuses);
+  cluster.run(1);
+  REQUIRE(cluster.lost(1));
+  cluster.calls_to_site[1] = 0;
+  cluster.run(10);
+  CHECK(cluster.calls_to_site[1] >= 4);
+  CHECK(cluster.calls_to_site[1] <= 20);
 }
 
 TEST_CASE("a return is paced: no share grows by more than a step, and none is given at once") {
-  Town town;
-  town.run(5);
-  town.site(1, Fate::refuses);
-  town.run(5);
-  REQUIRE(town.lost(1));
-  town.site(1, Fate::answers);
+  TestCluster cluster;
+  cluster.run(5);
+  cluster.set_site_behavior(1, Behavior::refuses);
+  cluster.run(5);
+  REQUIRE(cluster.lost(1));
+  cluster.set_site_behavior(1, Behavior::answers);
   double before = 0, returned = -1;
-  for (int i = 0; i < 400 && town.view.belief(1) != SiteBelief::sound; ++i) {
-    town.run(0.02);
-    const auto share = town.share(1);
+  for (int i = 0; i < 400 && cluster.monitor.health(1) != SiteHealth::healthy; ++i) {
+    cluster.run(0.02);
+    const auto share = cluster.share(1);
     CHECK(share <= std::max(2 * before, 0.25) + 1e-9);
-    if (share > 0 && returned < 0) returned = town.now;
+    if (share > 0 && returned < 0) returned = cluster.now;
     before = share;
   }
-  CHECK(town.view.belief(1) == SiteBelief::sound);
-  CHECK(town.now - returned > 0.45);
-  CHECK(town.now - returned < 4);
+  CHECK(cluster.monitor.health(1) == SiteHealth::healthy);
+  CHECK(cluster.now - returned > 0.45);
+  CHECK(cluster.now - returned < 4);
 }
 
-TEST_CASE("cold nodes that answer late get no more than the rule bears; warm ones are not held up") {
-  Town cold, warm;
-  for (auto* town : {&cold, &warm}) {
-    town->run(5);
-    town->site(1, Fate::silent);
-    town->run(6);
-    REQUIRE(town->lost(1));
+TEST_CASE("nodes in slow start get no more than their bounded share; warm nodes are not delayed") {
+  TestCluster cold, warm;
+  for (auto* cluster : {&cold, &warm}) {
+    cluster->run(5);
+    cluster->set_site_behavior(1, Behavior::silent);
+    cluster->run(6);
+    REQUIRE(cluster->lost(1));
   }
-  cold.site(1, Fate::slow);
-  warm.site(1, Fate::answers);
+  cold.set_site_behavior(1, Behavior::slow);
+  warm.set_site_behavior(1, Behavior::answers);
   cold.run(4.5);
   warm.run(4.5);
   CHECK(warm.share(1) == 1);
-  CHECK(cold.share(1) < 0.65);  // half of 2 times the 0.3 to 0.61 of its capacity that it may have by then
+  CHECK(cold.share(1) < 0.65);  // half of 2 times the 0.3 to 0.61 of the capacity reached by then
 }
 
-TEST_CASE("a site that goes every few seconds is not believed back each time") {
-  Town town;
-  town.run(5);
+TEST_CASE("a site that fails every few seconds does not count as recovered each time") {
+  TestCluster cluster;
+  cluster.run(5);
   for (int i = 0; i < 12; ++i) {
-    town.site(1, Fate::refuses);
-    town.run(0.7);
-    town.site(1, Fate::answers);
-    town.run(0.7);
+    cluster.set_site_behavior(1, Behavior::refuses);
+    cluster.run(0.7);
+    cluster.set_site_behavior(1, Behavior::answers);
+    cluster.run(0.7);
   }
-  CHECK(town.times(1, SiteBelief::sound) <= 6);
-  town.run(20);
-  CHECK(town.view.belief(1) == SiteBelief::sound);  // and comes back for good
+  CHECK(cluster.change_count(1, SiteHealth::healthy) <= 6);
+  cluster.run(20);
+  CHECK(cluster.monitor.health(1) == SiteHealth::healthy);  // and recovers in the end
 }
 
 TEST_CASE("the list's word that nodes are ready is no sign of life; that they started since is") {
-  Town town;
-  town.run(5);
-  town.site(1, Fate::refuses);
-  town.run(1);
-  REQUIRE(town.lost(1));
-  town.view.list(town.hosts, true, town.now);
-  CHECK(town.lost(1));
-  for (int n = 8; n < 16; ++n) town.hosts[static_cast<std::size_t>(n)].born = town.now;
-  town.view.list(town.hosts, true, town.now);
-  CHECK(town.view.belief(1) == SiteBelief::returning);
-  // The new processes are not judged by the old ones' loss.
-  CHECK(town.hosts[8].born > town.view.shares()[1].since);
+  TestCluster cluster;
+  cluster.run(5);
+  cluster.set_site_behavior(1, Behavior::refuses);
+  cluster.run(1);
+  REQUIRE(cluster.lost(1));
+  cluster.monitor.update_nodes(cluster.hosts, true, cluster.now);
+  CHECK(cluster.lost(1));
+  for (int n = 8; n < 16; ++n) cluster.hosts[static_cast<std::size_t>(n)].born = cluster.now;
+  cluster.monitor.update_nodes(cluster.hosts, true, cluster.now);
+  CHECK(cluster.monitor.health(1) == SiteHealth::returning);
+  // The loss of the old processes does not apply to the new ones.
+  CHECK(cluster.hosts[8].born > cluster.monitor.shares()[1].since);
 }
 
 TEST_CASE("an evacuation empties a site at its rate, is held back while another is lost, and ends") {
-  Town town;
-  town.run(5);
-  town.view.evacuate(Evacuation{2, town.now, 4, town.now + 12});
-  town.run(2);
-  CHECK(town.share(2) == doctest::Approx(0.5).epsilon(0.1));
-  CHECK(town.share(1) == 1);
-  town.run(3);
-  CHECK(town.share(2) == 0);
-  CHECK_FALSE(town.lost(2));
-  CHECK(town.view.belief(2) == SiteBelief::evacuated);
-  town.site(1, Fate::refuses);
-  town.run(3);
-  REQUIRE(town.lost(1));
-  CHECK(town.share(2) > 0.2);  // what is left must bear it
-  CHECK(town.all_news.back().site <= 2);
-  CHECK(std::any_of(town.all_news.begin(), town.all_news.end(),
-                    [](auto& n) { return n.site == 2 && n.held_back; }));
-  town.site(1, Fate::answers);
-  town.run(12);
-  CHECK(town.share(2) == 1);
-  CHECK(town.view.belief(2) == SiteBelief::sound);
+  TestCluster cluster;
+  cluster.run(5);
+  cluster.monitor.set_evacuation(Evacuation{2, cluster.now, 4, cluster.now + 12});
+  cluster.run(2);
+  CHECK(cluster.share(2) == doctest::Approx(0.5).epsilon(0.1));
+  CHECK(cluster.share(1) == 1);
+  cluster.run(3);
+  CHECK(cluster.share(2) == 0);
+  CHECK_FALSE(cluster.lost(2));
+  CHECK(cluster.monitor.health(2) == SiteHealth::evacuated);
+  cluster.set_site_behavior(1, Behavior::refuses);
+  cluster.run(3);
+  REQUIRE(cluster.lost(1));
+  CHECK(cluster.share(2) > 0.2);  // the remaining sites must carry the load
+  CHECK(cluster.changes.back().site <= 2);
+  CHECK(std::any_of(cluster.changes.begin(), cluster.changes.end(),
+                    [](auto& n) { return n.site == 2 && n.evacuation_held_back; }));
+  cluster.set_site_behavior(1, Behavior::answers);
+  cluster.run(12);
+  CHECK(cluster.share(2) == 1);
+  CHECK(cluster.monitor.health(2) == SiteHealth::healthy);
 }
 
-// A router that began while the order stood found the site idle, and sent it more than ever.
-TEST_CASE("an evacuation that stood before the process began leaves the site empty from the first tick on") {
-  Town town;
-  town.view.evacuate(Evacuation{2, town.now, 4, town.now + 12, true});
-  town.run(0.3);
-  CHECK(town.share(2) == 0);
-  CHECK(town.share(1) == 1);
-  town.run(14);
-  CHECK(town.share(2) == doctest::Approx(0.55).epsilon(0.2));  // and filled again at its rate
-  town.run(4);
-  CHECK(town.share(2) == 1);
+// Guards against a router that is restarted during an evacuation: the emptied site looked idle to it, so it
+// sent the site more load than before.
+TEST_CASE("an evacuation in effect before the process started leaves the site empty from the first tick on") {
+  TestCluster cluster;
+  cluster.monitor.set_evacuation(Evacuation{2, cluster.now, 4, cluster.now + 12, true});
+  cluster.run(0.3);
+  CHECK(cluster.share(2) == 0);
+  CHECK(cluster.share(1) == 1);
+  cluster.run(14);
+  CHECK(cluster.share(2) == doctest::Approx(0.55).epsilon(0.2));  // filled again at the ordered rate
+  cluster.run(4);
+  CHECK(cluster.share(2) == 1);
 }
 
-TEST_CASE("switched off, nothing is believed, and a belief ends at once") {
-  Town town;
-  town.run(5);
-  town.site(1, Fate::refuses);
-  town.run(1);
-  REQUIRE(town.lost(1));
-  town.view.on(false);
-  CHECK(town.view.shares().empty());
-  town.run(3);
-  CHECK(town.view.shares().empty());
-  town.view.on(true);
-  town.run(2);
-  CHECK(town.lost(1));
+TEST_CASE("disabled, no site is lost, and a loss ends at once") {
+  TestCluster cluster;
+  cluster.run(5);
+  cluster.set_site_behavior(1, Behavior::refuses);
+  cluster.run(1);
+  REQUIRE(cluster.lost(1));
+  cluster.monitor.set_enabled(false);
+  CHECK(cluster.monitor.shares().empty());
+  cluster.run(3);
+  CHECK(cluster.monitor.shares().empty());
+  cluster.monitor.set_enabled(true);
+  cluster.run(2);
+  CHECK(cluster.lost(1));
 }
 
-TEST_CASE("properties: most nodes answer, so it is not lost; whatever happened, a sound site comes back") {
+TEST_CASE(
+    "properties: a site most of whose nodes answer is not lost; after any faults a healthy site recovers") {
   const auto good = rc::check("sites", [] {
     const auto seed = *rc::gen::arbitrary<unsigned>();
-    Town town(3, 10, *rc::gen::inRange(-1, 3), seed);
-    town.run(3);
-    // Up to four of ten are bad, in any way.
+    TestCluster cluster(3, 10, *rc::gen::inRange(-1, 3), seed);
+    cluster.run(3);
+    // Up to four nodes of ten fail, each in any way.
     for (int i = 0; i < 4; ++i)
-      town.fate[10 + town.chance() % 10] =
-          std::vector{Fate::refuses, Fate::silent, Fate::full}[town.chance() % 3];
-    town.run(6);
-    RC_ASSERT(town.times(1, SiteBelief::lost) + town.times(1, SiteBelief::cut_off) == 0);
+      cluster.behavior[10 + cluster.random() % 10] =
+          std::vector{Behavior::refuses, Behavior::silent, Behavior::overloaded}[cluster.random() % 3];
+    cluster.run(6);
+    RC_ASSERT(cluster.change_count(1, SiteHealth::lost) + cluster.change_count(1, SiteHealth::cut_off) == 0);
     const auto steps = *rc::gen::inRange(1, 8);
     for (int i = 0; i < steps; ++i) {
-      town.site(static_cast<int>(town.chance() % 3), std::vector{Fate::refuses, Fate::silent, Fate::answers,
-                                                                 Fate::full, Fate::slow}[town.chance() % 5]);
-      town.run(0.3 + 0.001 * static_cast<double>(town.chance() % 3000));
+      cluster.set_site_behavior(static_cast<int>(cluster.random() % 3),
+                                std::vector{Behavior::refuses, Behavior::silent, Behavior::answers,
+                                            Behavior::overloaded, Behavior::slow}[cluster.random() % 5]);
+      cluster.run(0.3 + 0.001 * static_cast<double>(cluster.random() % 3000));
     }
-    for (int s = 0; s < 3; ++s) town.site(s, Fate::answers);
-    town.run(40);
-    for (int s = 0; s < 3; ++s) RC_ASSERT(town.view.belief(s) == SiteBelief::sound);
-    RC_ASSERT(town.view.shares().empty());
+    for (int s = 0; s < 3; ++s) cluster.set_site_behavior(s, Behavior::answers);
+    cluster.run(40);
+    for (int s = 0; s < 3; ++s) RC_ASSERT(cluster.monitor.health(s) == SiteHealth::healthy);
+    RC_ASSERT(cluster.monitor.shares().empty());
   });
   CHECK(good);
 }
 
-TEST_CASE("properties: the sum over all routers never gives a cold site more than the rule bears") {
+TEST_CASE("properties: all routers together never give a site in slow start more than its bounded share") {
   const auto good = rc::check("sum", [] {
-    const auto many = *rc::gen::element(3, 30, 120);
+    const auto router_count = *rc::gen::element(3, 30, 120);
     const auto seed = *rc::gen::arbitrary<unsigned>();
-    std::vector<Town> routers;
-    for (int i = 0; i < many; ++i) {
+    std::vector<TestCluster> routers;
+    for (int i = 0; i < router_count; ++i) {
       routers.emplace_back(3, 6, 0, seed + static_cast<unsigned>(i));
       routers.back().run(2, 60);
-      routers.back().site(1, Fate::silent);
-      // Some have found out, some have not yet: any split of beliefs.
+      routers.back().set_site_behavior(1, Behavior::silent);
+      // Some routers have detected the loss and some have not.
       routers.back().run(*rc::gen::inRange(0, 3) * 1.0 + 1.5, 60);
-      routers.back().site(1, Fate::slow);
+      routers.back().set_site_behavior(1, Behavior::slow);
     }
     for (int step = 0; step < 12; ++step) {
       double sum = 0;
-      int believers = 0;
+      int routers_returning = 0;
       for (auto& router : routers) {
         router.run(0.25, 60);
-        if (router.view.belief(1) != SiteBelief::returning) continue;
-        ++believers;
+        if (router.monitor.health(1) != SiteHealth::returning) continue;
+        ++routers_returning;
         sum += router.share(1);
       }
-      // A returning site's load, of those that pace it: at most half of what makes cold nodes fall.
+      // The mean share of the routers that let the site return: at most half of the load that overloads nodes
+      // in slow start.
       const auto capacity = 0.3 + 0.7 * (step + 1) * 0.25 / 10;
-      if (believers > 0) RC_ASSERT(sum / believers <= std::max(0.25, 0.5 * 2 * capacity) + 0.02);
+      if (routers_returning > 0)
+        RC_ASSERT(sum / routers_returning <= std::max(0.25, 0.5 * 2 * capacity) + 0.02);
     }
   });
   CHECK(good);
 }
 
 namespace {
-PlannedTown planned() {
-  PlannedTown town;
-  town.sites = 3;
-  town.shards = 12;
-  town.cells = 3;
-  town.settings = Town::settings(0);
-  for (int n = 0; n < 18; ++n) town.nodes.push_back({n / 6, n % 3, 50});
-  town.loads = {{"recherche", 119, 3, 1}, {"bilan-mensuel", 20, 8, 12}, {"suivi", 60, 1, 1}};
-  return town;
+PlannedCluster planned_cluster() {
+  PlannedCluster cluster;
+  cluster.site_count = 3;
+  cluster.shard_count = 12;
+  cluster.cell_count = 3;
+  cluster.settings = TestCluster::settings(0);
+  for (int n = 0; n < 18; ++n) cluster.nodes.push_back({n / 6, n % 3, 50});
+  cluster.loads = {{"recherche", 119, 3, 1}, {"bilan-mensuel", 20, 8, 12}, {"suivi", 60, 1, 1}};
+  return cluster;
 }
 }  // namespace
 
-TEST_CASE("the forecast: strain, what has no holder, and the cheap refused before the dear") {
-  auto town = planned();
+TEST_CASE("the forecast: utilization, shards without a replica, and low utility rejected before high") {
+  auto cluster = planned_cluster();
   const auto parts = 119 * 3 + 20 * 8 + 60 * 1.0;
-  CHECK(plan_loss(town, {}).most_strain == doctest::Approx(parts / 900).epsilon(0.02));
-  const auto one = plan_loss(town, {1});
-  CHECK(one.most_strain == doctest::Approx(parts / 600).epsilon(0.02));
-  CHECK(one.utility == doctest::Approx(one.whole));
-  CHECK(one.unheld.empty());
-  const auto two = plan_loss(town, {0, 1});
-  CHECK(two.most_strain == doctest::Approx(parts / 300).epsilon(0.02));
-  CHECK(two.refused[0] > two.refused[2]);
-  CHECK(two.refused[2] > two.refused[1]);
+  CHECK(forecast_site_loss(cluster, {}).max_node_utilization == doctest::Approx(parts / 900).epsilon(0.02));
+  const auto one = forecast_site_loss(cluster, {1});
+  CHECK(one.max_node_utilization == doctest::Approx(parts / 600).epsilon(0.02));
+  CHECK(one.served_utility == doctest::Approx(one.offered_utility));
+  CHECK(one.unavailable_shards.empty());
+  const auto two = forecast_site_loss(cluster, {0, 1});
+  CHECK(two.max_node_utilization == doctest::Approx(parts / 300).epsilon(0.02));
+  CHECK(two.rejected_share[0] > two.rejected_share[2]);
+  CHECK(two.rejected_share[2] > two.rejected_share[1]);
   double left = 0;
-  for (std::size_t v = 0; v < 3; ++v) left += town.loads[v].rate * town.loads[v].parts * (1 - two.refused[v]);
+  for (std::size_t v = 0; v < 3; ++v)
+    left +=
+        cluster.loads[v].queries_per_second * cluster.loads[v].parts_per_query * (1 - two.rejected_share[v]);
   CHECK(left == doctest::Approx(300).epsilon(0.03));
-  // Site 2 alone holds the tranches of cell 2: what needs one of these four of twelve can't be served without
-  // it.
-  for (auto& node : town.nodes) node.cell = node.site == 2 ? 2 : node.cell % 2;
-  const auto lone = plan_loss(town, {2});
-  CHECK(lone.unheld == std::vector<int>{2, 5, 8, 11});
-  CHECK(lone.out_of_reach[2] == doctest::Approx(4.0 / 12));
-  CHECK(lone.out_of_reach[1] == doctest::Approx(1 - 1.0 / 495));  // one way of 495 to do without
-  CHECK(lone.cold_return > lone.warm_return);
+  // Only site 2 holds the shards of cell 2: a query that needs one of these four of twelve can't be served
+  // without it.
+  for (auto& node : cluster.nodes) node.cell = node.site == 2 ? 2 : node.cell % 2;
+  const auto lone = forecast_site_loss(cluster, {2});
+  CHECK(lone.unavailable_shards == std::vector<int>{2, 5, 8, 11});
+  CHECK(lone.unreachable_share[2] == doctest::Approx(4.0 / 12));
+  CHECK(lone.unreachable_share[1] ==
+        doctest::Approx(1 - 1.0 / 495));  // one choice of 8 shards of 495 avoids them
+  CHECK(lone.cold_recovery_seconds > lone.warm_recovery_seconds);
   // Capacity is what counts, not the number of nodes.
-  for (auto& node : town.nodes) node.capacity = 0.001;
-  CHECK(plan_loss(town, {0}).utility < 0.05 * plan_loss(town, {0}).whole);
+  for (auto& node : cluster.nodes) node.parts_per_second = 0.001;
+  CHECK(forecast_site_loss(cluster, {0}).served_utility <
+        0.05 * forecast_site_loss(cluster, {0}).offered_utility);
 }
 
 TEST_SUITE_END();
