--- a/src/clients/connection.cpp
+++ b/src/clients/connection.cpp
@@ -37,12 +37,12 @@
 
 }  // namespace
 
-ClientConnection::ClientConnection(asio::ip::tcp::socket socket, DueTimes& due, Owner& owner, int id)
+ClientConnection::ClientConnection(asio::ip::tcp::socket socket, TimerQueue& due, Owner& owner, int id)
     : socket_(std::move(socket)),
       due_(due),
       owner_(owner),
       id_(id),
-      due_key_(due.fresh_key()),
+      due_key_(due.new_key()),
       since_(now()),
       opened_(since_),
       in_(2 * kLargestHeader),
@@ -59,7 +59,7 @@
 }
 
 void ClientConnection::close_at(double at) {
-  due_.set(due_key_, at, [weak = weak_from_this()](double) {
+  due_.schedule(due_key_, at, [weak = weak_from_this()](double) {
     if (const auto self = weak.lock()) self->late();
   });
 }
@@ -103,7 +103,7 @@
 // While its buffer is full of what it has sent ahead nothing more is read, so that its end can't be read
 // either: a client that sends much at once and goes would have its parts sent on long after.
 void ClientConnection::watch_departure() {
-  due_.set(due_key_, now() + kDepartureCheck, [weak = weak_from_this()](double) {
+  due_.schedule(due_key_, now() + kDepartureCheck, [weak = weak_from_this()](double) {
     const auto self = weak.lock();
     if (!self || self->state_ != State::asked) return;
     if (self->departed()) return self->lost();
@@ -136,7 +136,7 @@
   boost::system::error_code error;
   const auto count = socket_.read_some(in_.space(), error);
   if (is_lack_of_memory(error))
-    return due_.set_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::read);
+    return due_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::read);
   if (is_transient(error)) return read();
   if (error) return lost();
   in_.commit(count);
@@ -192,7 +192,7 @@
     return;
   }
   state_ = State::asked;
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   owner_.seen(*this, What::request, now() - since_, 0);
   asked_at_ = now();
   keep_alive_ = parser_->keep_alive();
@@ -203,7 +203,7 @@
 }
 
 void ClientConnection::fail(int status, std::string_view why) {
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   state_ = State::asked;
   asked_at_ = now();
   if (shut_ == Shut::by_client) shut_ = Shut::bad;
@@ -232,7 +232,7 @@
   while (out_.size() > 0 && !error) out_.consume(socket_.write_some(out_.data(), error));
   if (is_transient(error)) return await_writable();
   if (is_lack_of_memory(error))
-    return due_.set_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::write);
+    return due_.schedule_once(now() + kRetryAfterLack, weak_from_this(), &ClientConnection::write);
   if (!error && state_ != State::answering) return;
   writing_ = true;
   asio::post(socket_.get_executor(), [self = shared_from_this(), failed = bool(error)] {
@@ -256,7 +256,7 @@
 void ClientConnection::written() {
   out_.release();
   parser_.reset();
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   begun_ = continued_ = false;
   served_ = true;
   ++answers_;
@@ -291,7 +291,7 @@
   if (state_ == State::closed) return;
   shut_ = why;
   state_ = State::closed;
-  due_.drop(due_key_);
+  due_.cancel(due_key_);
   boost::system::error_code ignored;
   socket_.close(ignored);
   owner_.closed(*this);
--- a/src/datanodes/pool.cpp
+++ b/src/datanodes/pool.cpp
@@ -6,7 +6,7 @@
 
 namespace yoketurn {
 
-Pool::Pool(boost::asio::io_context& context, DueTimes& due, const NodeConnection::Limits& limits,
+Pool::Pool(boost::asio::io_context& context, TimerQueue& due, const NodeConnection::Limits& limits,
            std::size_t most_connections, Log& log, Listener& listener)
     : context_(context),
       due_(due),
@@ -54,15 +54,15 @@
   const auto ref = part.ref;
   auto& out = out_[ref];
   out.id = part.id;
-  out.due = due_.fresh_key();
+  out.due = due_.new_key();
   const auto at = now();
   part.expires = at + timeout;
   part.send_by = at + std::min(by, timeout);
-  due_.set(out.due, part.expires, [this, ref](double) { give_up(ref, Outcome::timed_out); });
+  due_.schedule(out.due, part.expires, [this, ref](double) { give_up(ref, Outcome::timed_out); });
   // A connection may come up, or take what waits for it, when the time for a deduplicated part is over.
   if (by < timeout) {
-    out.by = due_.fresh_key();
-    due_.set(out.by, part.send_by, [this, ref](double) { withdraw(ref); });
+    out.by = due_.new_key();
+    due_.schedule(out.by, part.send_by, [this, ref](double) { withdraw(ref); });
   }
   turn_[{node, group}].push_back(std::move(part));
 }
@@ -146,8 +146,8 @@
 void Pool::ended(const CallRef& ref, Outcome outcome, double score, std::string_view value) {
   const auto at = out_.find(ref);
   if (at == out_.end()) return;
-  due_.drop(at->second.due);
-  if (at->second.by != 0) due_.drop(at->second.by);
+  due_.cancel(at->second.due);
+  if (at->second.by != 0) due_.cancel(at->second.by);
   out_.erase(at);
   listener_.call_ended(ref, outcome, score, value);
 }
--- a/src/emulator/process.cpp
+++ b/src/emulator/process.cpp
@@ -23,22 +23,22 @@
   due_ = {};
   const auto seed = mixed(seed_ + life_);
   auto decisions = world_.decide(seed);
-  if (!decisions) decisions = std::make_unique<Brain>(settings_, seed, now());
-  Actions& actions = *this;
+  if (!decisions) decisions = std::make_unique<AdaptiveRoutingPolicy>(settings_, seed, now());
+  QueryActions& actions = *this;
   queries_ = std::make_unique<Queries>(std::move(decisions), settings_, seed, due_, actions);
   queries_->sites().set_enabled(plan_);
   ready_ = stopped_ = ending_ = false;
   armed_ = -1;
-  if (const auto known = list(true); !known.empty()) queries_->list(known, true, now(), false);
+  if (const auto known = list(true); !known.empty()) queries_->update_nodes(known, true, now(), false);
   engine_.after(kStarts, [this, life = life_] {
     if (life != life_ || !alive()) return;
     take([this] {
       ready_ = true;
-      if (const auto told = list(false); !told.empty()) queries_->list(told, true, now());
+      if (const auto told = list(false); !told.empty()) queries_->update_nodes(told, true, now());
     });
   });
   // Processes that begin together do not tick together.
-  engine_.after(queries_->period() * static_cast<double>(seed % 1000) / 1e3,
+  engine_.after(queries_->tick_interval() * static_cast<double>(seed % 1000) / 1e3,
                 [this, life = life_, chain = ++ticks_] {
                   if (life == life_) tick(chain);
                 });
@@ -81,25 +81,25 @@
   if (!alive() || stopped_ || chain != ticks_) return;
   queries_->tick(now());
   turn();
-  engine_.after(queries_->period(), [this, life = life_, chain] {
+  engine_.after(queries_->tick_interval(), [this, life = life_, chain] {
     if (life == life_) tick(chain);
   });
 }
 
 // All that has come in is told to the queries, and what they want is done; what that brings at once, too.
 void Process::turn() {
-  queries_->finish(now());
+  queries_->process_changes(now());
   while (!news_.empty()) {
     for (const auto& news : std::exchange(news_, {}))
-      queries_->outcome(news.query, news.leaf, news.call, news.outcome, 0, now());
-    queries_->finish(now());
+      queries_->on_outcome(news.query, news.leaf, news.call, news.outcome, 0, now());
+    queries_->process_changes(now());
   }
   for (const auto& news : queries_->sites().take_changes()) world_.believes(*this, news);
   arm();
 }
 
 void Process::arm() {
-  const auto next = due_.next();
+  const auto next = due_.next_due();
   if (!std::isfinite(next) || (armed_ >= 0 && armed_ <= next + 1e-9)) return;
   armed_ = next;
   engine_.at(next - kZero + kLittle, [this, next, life = life_] {
@@ -122,12 +122,12 @@
     parts_ += request.shards.size() + 1;
     Query q;
     q.vertical = request.vertical;
-    q.expires = now() + request.left;
-    q.work = request.work * static_cast<double>(request.shards.size());
-    if (parts_ > days::kMostOpen) q.barred = Reason::no_room;
-    queries_->take(query, std::move(q), now());
+    q.deadline = now() + request.left;
+    q.work_hint = request.work * static_cast<double>(request.shards.size());
+    if (parts_ > days::kMostOpen) q.forced_rejection = Reason::too_many_pending;
+    queries_->add_query(query, std::move(q), now());
     for (const auto shard : request.shards)
-      queries_->take_part(
+      queries_->add_part(
           query, {shard, 1.0 / static_cast<double>(request.shards.size()), request.work, 1, false, {}},
           now());
   });
@@ -135,13 +135,13 @@
 
 void Process::gone(long long request) {
   take([this, request] {
-    if (const auto at = by_request_.find(request); at != by_request_.end()) queries_->gone(at->second);
+    if (const auto at = by_request_.find(request); at != by_request_.end()) queries_->abandon(at->second);
   });
 }
 
-void Process::told(std::vector<Host> hosts, bool complete) {
+void Process::told(std::vector<DiscoveredNode> hosts, bool complete) {
   take([this, hosts = std::move(hosts), complete] {
-    if (ready_) queries_->list(hosts, complete, now());
+    if (ready_) queries_->update_nodes(hosts, complete, now());
   });
 }
 
@@ -153,8 +153,8 @@
   for (auto& part : out)
     if (part.leaf == leaf && part.call == call) {
       flight = part.flight;
-      due_.drop(part.due);
-      if (part.by != 0) due_.drop(part.by);
+      due_.cancel(part.due);
+      if (part.by != 0) due_.cancel(part.by);
       part = out.back();
       out.pop_back();
       return true;
@@ -168,7 +168,7 @@
     if (!drop(query, leaf, call, flight)) return;
     auto& held = held_.at(query);
     if (outcome == Outcome::success) held.in[static_cast<std::size_t>(leaf)] = true;
-    queries_->outcome(query, leaf, call, outcome, 0, now());
+    queries_->on_outcome(query, leaf, call, outcome, 0, now());
   });
 }
 
@@ -196,15 +196,15 @@
 void Process::send(long long query, const Send& send, int call) {
   auto& held = held_.at(query);
   const auto flight = world_.send(*this, held.request, send, send.leaf, call);
-  const auto due = due_.fresh_key();
+  const auto due = due_.new_key();
   held.out.push_back({send.leaf, call, flight, due, 0});
-  if (send.by < send.timeout) {
-    held.out.back().by = due_.fresh_key();
-    due_.set(held.out.back().by, now() + send.by,
-             [this, query, leaf = send.leaf, call](double) { withdraw(query, leaf, call); });
+  if (send.max_send_delay < send.timeout) {
+    held.out.back().by = due_.new_key();
+    due_.schedule(held.out.back().by, now() + send.max_send_delay,
+                  [this, query, leaf = send.leaf, call](double) { withdraw(query, leaf, call); });
   }
-  due_.set(due, now() + send.timeout,
-           [this, query, leaf = send.leaf, call](double) { timed_out(query, leaf, call); });
+  due_.schedule(due, now() + send.timeout,
+                [this, query, leaf = send.leaf, call](double) { timed_out(query, leaf, call); });
 }
 
 void Process::cancel(long long query, const Cancel& cancel) {
@@ -214,7 +214,7 @@
   news_.push_back({query, cancel.leaf, cancel.call, gone ? Outcome::cancelled : Outcome::unsent});
 }
 
-void Process::answer(long long query, int status, double retry_after, const Why& why, bool whole) {
+void Process::answer(long long query, int status, double retry_after, const Explanation& why, bool whole) {
   auto& held = held_.at(query);
   if (std::exchange(held.answered, true)) return;
   std::vector<int> shards;
@@ -225,8 +225,8 @@
   for (std::size_t i = held.out.size(); i-- > 0;) {
     const auto part = held.out[i];
     if (!world_.unsent(part.flight)) continue;
-    due_.drop(part.due);
-    if (part.by != 0) due_.drop(part.by);
+    due_.cancel(part.due);
+    if (part.by != 0) due_.cancel(part.by);
     held.out[i] = held.out.back();
     held.out.pop_back();
     news_.push_back({query, part.leaf, part.call, Outcome::unsent});
@@ -237,15 +237,15 @@
   answer(query, 200, 0, {}, whole);
 }
 
-void Process::reject(long long query, double stay_away, const Why& why) {
+void Process::reject(long long query, double stay_away, const Explanation& why) {
   answer(query, 503, stay_away, why, false);
 }
 
-void Process::abort(long long query, const Why& why) {
+void Process::abort(long long query, const Explanation& why) {
   answer(query, 500, 0, why, false);
 }
 
-void Process::forget(long long query) {
+void Process::release(long long query) {
   const auto at = held_.find(query);
   if (at == held_.end()) return;
   parts_ -= std::min(parts_, at->second.shards.size() + 1);
@@ -253,7 +253,7 @@
   held_.erase(at);
 }
 
-void Process::ended(int, const Call& call) {
+void Process::on_call_ended(int, const Call& call) {
   world_.settled(*this, call);
 }
 
--- a/src/emulator/town.cpp
+++ b/src/emulator/town.cpp
@@ -95,8 +95,8 @@
   };
   world_.give_up = [this](FlightRef part) { return network_->give_up(part); };
   world_.unsent = [this](FlightRef part) { return network_->unsend(part); };
-  world_.answer = [this](Process& from, long long request, int status, double retry_after, const Why& why,
-                         bool whole, const std::vector<int>& shards) {
+  world_.answer = [this](Process& from, long long request, int status, double retry_after,
+                         const Explanation& why, bool whole, const std::vector<int>& shards) {
     answered(from, request, status, retry_after, why, whole, shards);
   };
   world_.believes = [this](Process& process, const SiteHealthChange& news) { believes(process, news); };
@@ -106,7 +106,7 @@
     m.full += call.outcome == Outcome::overloaded;
     m.unreachable += call.outcome == Outcome::unreachable;
     m.timed_out += call.outcome == Outcome::timed_out;
-    m.broken += call.outcome == Outcome::broken;
+    m.broken += call.outcome == Outcome::disconnected;
   };
   world_.decide = [this](std::uint64_t seed) { return decide(seed); };
   for (std::size_t r = 0; r < site_of_router_.size(); ++r) {
@@ -125,7 +125,7 @@
 
 Town::~Town() = default;
 
-std::unique_ptr<Decisions> Town::decide(std::uint64_t seed) {
+std::unique_ptr<RoutingPolicy> Town::decide(std::uint64_t seed) {
   // All sites' settings differ in the zone alone, which the plain designs don't read.
   if (options_.design.choice == Design::Choice::module) return nullptr;
   return plain(settings_[0], options_.design, seed, [this](int node) {
@@ -198,7 +198,9 @@
   flight.until = engine_.now() + send.timeout;
   auto& m = moment();
   ++played_.parts;
-  ++(send.why.reason == Reason::first ? m.sent : send.why.reason == Reason::copy ? m.copies : m.again);
+  ++(send.explanation.reason == Reason::first_call ? m.sent
+     : send.explanation.reason == Reason::copy     ? m.copies
+                                                   : m.again);
   network_->send(ref);
   return ref;
 }
@@ -214,7 +216,7 @@
   if (lives) process.ended(query, leaf, call, outcome);
 }
 
-void Town::answered(Process& from, long long request, int status, double retry_after, const Why& why,
+void Town::answered(Process& from, long long request, int status, double retry_after, const Explanation& why,
                     bool whole, const std::vector<int>& shards) {
   if (status == 503) ++moment().refused[why.reason];
   if (status == 500) ++moment().given_up[why.reason];
@@ -247,9 +249,10 @@
   if (!options_.record) return;
   static constexpr std::string_view kStates[] = {"sound",   "doubted",   "lost",
                                                  "cut_off", "returning", "evacuated"};
-  const auto text = fmt::format("name={} state={} before={} bad={} evidence={:.1f}", day_.sites[site].name,
-                                kStates[static_cast<std::size_t>(news.current)],
-                                kStates[static_cast<std::size_t>(news.previous)], news.failing_nodes, news.evidence);
+  const auto text =
+      fmt::format("name={} state={} before={} bad={} evidence={:.1f}", day_.sites[site].name,
+                  kStates[static_cast<std::size_t>(news.current)],
+                  kStates[static_cast<std::size_t>(news.previous)], news.failing_nodes, news.evidence);
   note({.at = engine_.now(), .kind = Kind::site, .router = process.number(), .text = text});
 }
 
@@ -324,7 +327,7 @@
 
 // --- discovery
 
-Host Town::host(int node, const Entry& entry) const {
+DiscoveredNode Town::host(int node, const Entry& entry) const {
   const auto n = static_cast<std::size_t>(node);
   int first = 0;
   for (int s = 0; s < site_of_node_[n]; ++s) first += day_.sites[static_cast<std::size_t>(s)].nodes;
@@ -333,8 +336,8 @@
           entry.state == "ready", entry.born > 0 ? entry.born + Process::kZero : 0};
 }
 
-std::vector<Host> Town::hosts(int router, bool known_last) const {
-  std::vector<Host> result;
+std::vector<DiscoveredNode> Town::hosts(int router, bool known_last) const {
+  std::vector<DiscoveredNode> result;
   const auto& agent = agents_[static_cast<std::size_t>(router)];
   if (known_last) {  // the list of the configuration, as the day began
     for (std::size_t n = 0; n < entries_.size(); ++n) result.push_back(host(static_cast<int>(n), {}));
@@ -352,7 +355,7 @@
   entries_[static_cast<std::size_t>(node)].changed = true;
   engine_.after(day_.list_late, [this, node, version] {
     const auto& entry = entries_[static_cast<std::size_t>(node)];
-    std::vector<Host> fresh;
+    std::vector<DiscoveredNode> fresh;
     if (entry.name > 0) {  // a process under another name: its old one is gone
       fresh.push_back(host(node, {"gone", 0, entry.name - 1, true}));
     }
--- a/src/estimates/samples.hpp
+++ b/src/estimates/samples.hpp
@@ -19,14 +19,14 @@
 
 // Quantiles are product-limit estimates. Cancelled calls are the slow ones: to leave them out, or to take
 // their age for a latency, would pull the percentile down and so invite more copies.
-inline void by_value(std::vector<Sample>& samples) {
+inline void sort_by_value(std::vector<Sample>& samples) {
   std::sort(samples.begin(), samples.end(), [](const Sample& a, const Sample& b) {
     return a.value != b.value ? a.value < b.value : a.censored < b.censored;
   });
 }
 
 inline double quantile(std::vector<Sample>& samples, double share) {
-  by_value(samples);
+  sort_by_value(samples);
   double above = 1;
   for (std::size_t i = 0; i < samples.size(); ++i) {
     if (!samples[i].censored) above *= 1 - 1.0 / static_cast<double>(samples.size() - i);
@@ -36,8 +36,8 @@
 }
 
 // By the same estimate, the chance that a value is at most this.
-inline double chance_within(std::vector<Sample>& samples, double value) {
-  by_value(samples);
+inline double probability_within(std::vector<Sample>& samples, double value) {
+  sort_by_value(samples);
   double above = 1;
   for (std::size_t i = 0; i < samples.size() && samples[i].value <= value; ++i)
     if (!samples[i].censored) above *= 1 - 1.0 / static_cast<double>(samples.size() - i);
@@ -45,9 +45,9 @@
 }
 
 // Counts events in a sliding window.
-class Tally {
+class WindowCounter {
  public:
-  explicit Tally(double span = 0) : span_(span) {}
+  explicit WindowCounter(double span = 0) : span_(span) {}
   void add(double now, double count = 1) {
     recent(now);
     events_.emplace_back(now, count);
@@ -68,9 +68,9 @@
 };
 
 // The samples of a sliding window.
-class Window {
+class SampleWindow {
  public:
-  explicit Window(double span) : span_(span) {}
+  explicit SampleWindow(double span) : span_(span) {}
   void add(double now, Sample sample) { samples_.emplace_back(now, sample); }
   std::vector<Sample> recent(double now) {
     while (!samples_.empty() && samples_.front().first < now - span_) samples_.pop_front();
@@ -86,9 +86,9 @@
 
 // A smoothed average. The first samples weigh as in a plain mean: a router that sees a query a second would
 // else go by its very first one for a minute.
-class Smoothed {
+class SmoothedMean {
  public:
-  explicit Smoothed(double weight) : most_(1 / weight) {}  // of a new sample, once there are enough
+  explicit SmoothedMean(double weight) : most_(1 / weight) {}  // of a new sample, once there are enough
   void add(double sample) {
     many_ = std::min(many_ + 1, most_);
     value_ += (sample - value_) / many_;
--- a/src/fleet/best.cpp
+++ b/src/fleet/best.cpp
@@ -15,7 +15,8 @@
   auto* p = problem.get();
   glp_set_obj_dir(p, GLP_MAX);
   const auto holders = remaining_replicas(town, loss.lost_sites);
-  const auto held = static_cast<double>(town.shard_count) - static_cast<double>(loss.unavailable_shards.size());
+  const auto held =
+      static_cast<double>(town.shard_count) - static_cast<double>(loss.unavailable_shards.size());
   if (held <= 0) return 0;
   const auto loads = static_cast<int>(town.loads.size());
   const auto nodes = static_cast<int>(town.nodes.size());
@@ -55,7 +56,8 @@
     }
   }
   for (int n = 0; n < nodes; ++n)
-    glp_set_row_bnds(p, town.shard_count + n + 1, GLP_UP, 0, town.nodes[static_cast<std::size_t>(n)].parts_per_second);
+    glp_set_row_bnds(p, town.shard_count + n + 1, GLP_UP, 0,
+                     town.nodes[static_cast<std::size_t>(n)].parts_per_second);
   glp_load_matrix(p, static_cast<int>(rows.size()) - 1, rows.data(), cols.data(), values.data());
   if (glp_simplex(p, nullptr) != 0 || glp_get_status(p) != GLP_OPT)
     throw std::runtime_error("the linear programme can't be solved");
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -94,8 +94,8 @@
     o["strain"] = json::value_from(row.loss.shard_utilization);
     json::object verticals;
     for (std::size_t v = 0; v < town.loads.size(); ++v)
-      verticals[town.loads[v].vertical] =
-          json::object{{"out_of_reach", row.loss.unreachable_share[v]}, {"refused", row.loss.rejected_share[v]}};
+      verticals[town.loads[v].vertical] = json::object{{"out_of_reach", row.loss.unreachable_share[v]},
+                                                       {"refused", row.loss.rejected_share[v]}};
     o["verticals"] = verticals;
     o["utility"] = row.loss.served_utility;
     o["best"] = row.best;
@@ -137,8 +137,8 @@
   PlannedCluster town;
   town.site_count = static_cast<int>(zones.size());
   town.shard_count = config.bounds.shards;
-  town.cell_count = config.settings.cells;
-  town.cells_per_shard = config.settings.span;
+  town.cell_count = config.settings.cell_count;
+  town.cells_per_shard = config.settings.cells_per_shard;
   town.settings = config.settings;
   std::vector<int> many(zones.size(), 0);
   int nowhere = 0;
@@ -168,8 +168,8 @@
     fmt::print("{}\n", to_json(rows, town));
     return 0;
   }
-  fmt::print("{} nodes, {} shards on {} of {} cells each;", town.nodes.size(), town.shard_count, town.cells_per_shard,
-             town.cell_count);
+  fmt::print("{} nodes, {} shards on {} of {} cells each;", town.nodes.size(), town.shard_count,
+             town.cells_per_shard, town.cell_count);
   for (std::size_t z = 0; z < many.size(); ++z) fmt::print(" {} {}", config.zones[z], many[z]);
   fmt::print("{}\n", nowhere > 0 ? fmt::format(", in no site {}", nowhere) : "");
   if (town.site_count < 2)
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -12,10 +12,11 @@
 }  // namespace
 
 Admission::Admission(const Settings& s, double now)
-    : over_share(s.over_share),
+    : over_share(s.over_quota_utility),
       utility_by_work(s.utility_by_work),
-      strain_from(s.max_stay_away > 0 ? kStrainFrom : kStrainFrom + kAtOnce) {
-  for (const auto& c : s.customers) customers.push_back({c.quota / s.routers, c.quota / s.routers, now});
+      strain_from(s.max_retry_after > 0 ? kStrainFrom : kStrainFrom + kAtOnce) {
+  for (const auto& c : s.customers)
+    customers.push_back({c.quota / s.router_count, c.quota / s.router_count, now});
 }
 
 // The share of its utility that a query can be expected to earn in its time, by how long others of late took.
@@ -23,9 +24,9 @@
   auto& v = verticals.of(q);
   auto times = v.query_times.recent(now);
   // The SLO time runs from the client's first try, of which a later one tells nothing but that it was.
-  const auto used = q.client_retry ? kRetryAge * (q.expires - q.taken) : 0;
-  const auto in_time = chance_within(times, verticals.slo_end(q) - used - now);
-  const auto late = std::max(0.0, chance_within(times, verticals.last_end(q) - now) - in_time);
+  const auto used = q.client_retry ? kRetryAge * (q.deadline - q.received_at) : 0;
+  const auto in_time = probability_within(times, verticals.slo_end(q) - used - now);
+  const auto late = std::max(0.0, probability_within(times, verticals.last_end(q) - now) - in_time);
   const auto many = static_cast<double>(times.size());
   return (many * (in_time + v.is.late_utility * late) + kHopeWeight) / (many + kHopeWeight);
 }
@@ -35,24 +36,24 @@
   for (const auto& leaf : q.leaves)
     if (nodes.any_holder(leaf, [&](int i) { return nodes.within_reach(nodes.at(i), now); }))
       reach += leaf.weight;
-  return reach >= verticals.told(q).least - kRounding;
+  return reach >= verticals.told(q).min_merge_share - kRounding;
 }
 
 // A query that waited while the router stood still was asked earlier, by what its client leaves it less.
 void Admission::date(Query& q, VerticalState& v, double standstill, double now) {
-  const auto left = q.expires - now;
+  const auto left = q.deadline - now;
   if (standstill > 0) {
-    q.taken = now - std::clamp(v.try_time - left, 0.0, standstill);
+    q.received_at = now - std::clamp(v.try_time - left, 0.0, standstill);
   } else if (!q.client_retry) {
     v.try_time = std::max(left, v.try_time + kAverageWeight * (left - v.try_time));
   }
 }
 
-Why Admission::refuse(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance,
-                      double now) {
+Explanation Admission::refuse(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& chance,
+                              double now) {
   auto& v = verticals.of(q);
   const auto& part_work = verticals.part_work;
-  double work = q.work;
+  double work = q.work_hint;
   if (work <= 0) work = (part_work > 0 ? part_work : 1.0) * static_cast<double>(q.leaves.size());
   v.query_work.add(work);
   verticals.query_parts.add(static_cast<double>(q.leaves.size()));
@@ -80,9 +81,9 @@
                               1 - hope / kHopeless);
   const auto refuses = std::uniform_real_distribution<>(0, 1)(chance) < share;
   const auto reason = !refuses                        ? Reason::none
-                      : !reached                      ? Reason::out_of_reach
-                      : 1 - hope / kHopeless >= share ? Reason::hopeless
-                                                      : Reason::strained;
-  return why(reason, foretold, hope, share);
+                      : !reached                      ? Reason::too_few_reachable
+                      : 1 - hope / kHopeless >= share ? Reason::unlikely_in_time
+                                                      : Reason::overloaded;
+  return explain(reason, foretold, hope, share);
 }
 }  // namespace yoketurn::policy
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -36,7 +36,7 @@
   std::multiset<double> waiting;  // when the parts that wait there were sent
   int open_group = kNone;         // the call that parts sent at open_at may join
   double open_at = -1;
-  Tally sent;                    // work, in mean parts, over the time in which a cold node may be pushed over
+  WindowCounter sent;            // work, in mean parts, over the time in which a cold node may be pushed over
   double credit = 0;             // parts that it may be sent now, while it is cold and they are spaced out
   double credited = 0;           // when that was last looked at
   std::multiset<double> others;  // when others sent the parts that they have waiting there, as they tell
@@ -46,7 +46,7 @@
 
 // The nodes of one zone, as this router reaches them.
 struct Way {
-  Window latencies{kStrainWindow};
+  SampleWindow latencies{kStrainWindow};
   double delay = 0;  // by which its quick answers come later than those of the nearest zone
 };
 
@@ -76,22 +76,22 @@
   Cold cold;
   int zone, parts_a_call, cells, span;
   bool may_tell;
-  std::vector<Word> words;       // to be told
-  int listed_up = 0;             // nodes that are up by the last list
-  std::vector<SiteShare> sites;  // by zone; empty: all are sound
+  std::vector<PeerReport> words;  // to be told
+  int listed_up = 0;              // nodes that are up by the last list
+  std::vector<SiteShare> sites;   // by zone; empty: all are sound
   std::vector<Node> all;
   std::vector<Way> ways;
   std::vector<std::vector<int>> by_cell;
-  Smoothed average{kAverageWeight};  // latency of a part, over all nodes
-  Smoothed cost{kAverageWeight};     // the same with failures, each as the time it costs
-  double median = 0;                 // that of the last moments, with what is out
-  double astray = kNever;            // the age from which a part that others have overtaken is lost
-  double up = 0;                     // how many, as of the last tick
-  std::vector<bool> active;          // nodes that tick() has to look at: with parts out, suspicion or news
+  SmoothedMean average{kAverageWeight};  // latency of a part, over all nodes
+  SmoothedMean cost{kAverageWeight};     // the same with failures, each as the time it costs
+  double median = 0;                     // that of the last moments, with what is out
+  double astray = kNever;                // the age from which a part that others have overtaken is lost
+  double up = 0;                         // how many, as of the last tick
+  std::vector<bool> active;  // nodes that tick() has to look at: with parts out, suspicion or news
 
   Node& at(int node) { return all[static_cast<std::size_t>(node)]; }
   Node unheard() const;
-  void list(std::span<const Host> hosts, bool complete);
+  void list(std::span<const DiscoveredNode> hosts, bool complete);
   void forget(int node);
   double usual(const Node& node, double now) const;
   double drifted(const Node& node, double usual, double now) const;
@@ -106,7 +106,7 @@
   double others_at(const Node& node, double now) const;
   bool joins(const Node& node, double now) const;
   void tell(int node, double took) { may_tell ? words.push_back({node, took}) : void(); }
-  void hear(Word word, double now);
+  void hear(PeerReport word, double now);
   // A node under suspicion gets one part at a time, after a pause, unless there is nowhere better to go.
   bool shunned(const Node& node, double now) const {
     return node.suspect && (!node.waiting.empty() || now < node.trial_at);
@@ -114,11 +114,11 @@
   // What its site may get; nullptr: nothing is known against it.
   const SiteShare* site(const Node& node) const {
     const auto zone_at = static_cast<std::size_t>(node.zone);
-    return zone_at < sites.size() && node.born <= sites[zone_at].since ? &sites[zone_at] : nullptr;
+    return zone_at < sites.size() && node.born <= sites[zone_at].lost_at ? &sites[zone_at] : nullptr;
   }
   bool lost(const Node& node) const { return site(node) != nullptr && site(node)->lost; }
   bool within_reach(const Node& node, double now) const {
-    return node.up && !shunned(node, now) && (!lost(node) || site(node)->trial);
+    return node.up && !shunned(node, now) && (!lost(node) || site(node)->probe_allowed);
   }
   // What that does to its score: 0 where it is passed over, 1 where nothing.
   double by_site(const Node& node, bool may_try, std::ranlux24_base& chance) const;
--- a/src/sites/sites.cpp
+++ b/src/sites/sites.cpp
@@ -45,9 +45,9 @@
 
 double recovery_seconds(const Settings& settings, bool slow_start) {
   const auto doubling_seconds = std::ceil(std::log2(1 / kFirstLoadShare)) * kStepSeconds;
-  if (!slow_start || settings.cold_time <= 0 || settings.start_capacity >= 1) return doubling_seconds;
-  const auto needed_capacity = 1 / std::max(kSlowStartLoadMargin * settings.fall_multiple, 1e-9);
-  return std::max(doubling_seconds, settings.cold_time *
+  if (!slow_start || settings.slow_start_time <= 0 || settings.start_capacity >= 1) return doubling_seconds;
+  const auto needed_capacity = 1 / std::max(kSlowStartLoadMargin * settings.overload_multiple, 1e-9);
+  return std::max(doubling_seconds, settings.slow_start_time *
                                         (std::min(needed_capacity, 1.0) - settings.start_capacity) /
                                         (1 - settings.start_capacity));
 }
@@ -55,8 +55,8 @@
 SiteHealthMonitor::SiteHealthMonitor(const Settings& settings, std::uint64_t seed)
     : own_site_(settings.zone),
       start_capacity_(settings.start_capacity),
-      slow_start_seconds_(settings.cold_time),
-      overload_multiple_(settings.fall_multiple),
+      slow_start_seconds_(settings.slow_start_time),
+      overload_multiple_(settings.overload_multiple),
       random_(static_cast<std::uint_fast32_t>(seed * 31 + 7)) {}
 
 void SiteHealthMonitor::set_enabled(bool enabled) {
@@ -72,7 +72,7 @@
   shares_changed_ = true;
 }
 
-void SiteHealthMonitor::update_nodes(std::span<const Host> hosts, bool complete, double now) {
+void SiteHealthMonitor::update_nodes(std::span<const DiscoveredNode> hosts, bool complete, double now) {
   if (complete)
     for (auto& node : nodes_) node.up = false;
   for (const auto& host : hosts) {
@@ -81,10 +81,10 @@
       nodes_.resize(static_cast<std::size_t>(host.node) + 1);
     auto& node = nodes_[static_cast<std::size_t>(host.node)];
     // A new process: observations of the old one do not count for it.
-    if (host.born != node.started_at) node = {};
+    if (host.started_at != node.started_at) node = {};
     node.site = host.zone;
     node.up = host.up;
-    node.started_at = host.born;
+    node.started_at = host.started_at;
     if (host.zone >= 0 && static_cast<std::size_t>(host.zone) >= sites_.size())
       sites_.resize(static_cast<std::size_t>(host.zone) + 1);
   }
@@ -96,7 +96,7 @@
       if (site == kNone || !host.up) continue;
       const auto lost =
           site_at(site).health == SiteHealth::lost || site_at(site).health == SiteHealth::cut_off;
-      if (lost && host.born > site_at(site).lost_at) set_health(site, SiteHealth::returning, now);
+      if (lost && host.started_at > site_at(site).lost_at) set_health(site, SiteHealth::returning, now);
     }
   for (auto& site : sites_) site.node_count = 0;
   for (const auto& node : nodes_)
@@ -137,13 +137,13 @@
     case Outcome::success:
     case Outcome::failure:
     case Outcome::overloaded:
-    case Outcome::spoilt:
+    case Outcome::malformed:
       node->unanswered_wait = 0;
       if (node->pending_calls > 0)
         node->waiting_since = now;  // the node lives: what is still pending waits from now
       return record_observation(*node, false, false, sent_at, outcome == Outcome::success ? age : 0, now);
     case Outcome::unreachable:
-    case Outcome::broken:
+    case Outcome::disconnected:
       return record_observation(*node, true, true, sent_at, 0, now);
     case Outcome::timed_out:
     case Outcome::cancelled:
--- a/src/sites/sites.hpp
+++ b/src/sites/sites.hpp
@@ -66,7 +66,7 @@
   // While disabled all sites count as healthy and no change is reported.
   void set_enabled(bool enabled);
   // complete: the list replaces the previous one; nodes that it does not name are no longer up.
-  void update_nodes(std::span<const Host> hosts, bool complete, double now);
+  void update_nodes(std::span<const DiscoveredNode> hosts, bool complete, double now);
   void remove_node(int node);
   void on_call_sent(int node, double now);
   void on_call_ended(int node, double sent_at, Outcome outcome, double now);
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -34,9 +34,9 @@
   return e;
 }
 
-void Recorder::decided(long long query, const Query& q, const Answer& answer, std::span<const Judged> judged,
-                       double now) {
-  const auto of = [&](What what, std::uint32_t line, const Why& why, int leaf) {
+void Recorder::on_decision(long long query, const Query& q, const Decision& answer,
+                           std::span<const DecisionTraceEntry> judged, double now) {
+  const auto of = [&](What what, std::uint32_t line, const Explanation& why, int leaf) {
     auto e = event(what, line, static_cast<std::uint8_t>(why.reason), now);
     e.vertical = static_cast<std::int16_t>(q.vertical);
     e.query = static_cast<std::uint32_t>(query);
@@ -48,47 +48,50 @@
   };
   for (const auto& judge : judged) {
     if (judge.node == kNone) {
-      if (judge.why.reason == Reason::on_time) continue;  // looked at each tenth of a second: no choice
-      timeline_.record(of(What::waits, kLoop, judge.why, judge.leaf));
+      if (judge.explanation.reason == Reason::within_hedge_delay)
+        continue;  // looked at each tenth of a second: no choice
+      timeline_.record(of(What::waits, kLoop, judge.explanation, judge.leaf));
       continue;
     }
-    auto e = of(What::passed, line_of(judge.node), judge.why, judge.leaf);
-    e.other = line_of(judge.taken);
+    auto e = of(What::passed, line_of(judge.node), judge.explanation, judge.leaf);
+    e.other = line_of(judge.chosen_node);
     timeline_.record(e);
   }
   for (const auto& cancel : answer.cancels) {
     const auto& call =
         q.leaves[static_cast<std::size_t>(cancel.leaf)].calls[static_cast<std::size_t>(cancel.call)];
-    auto e = of(What::cancelled, line_of(call.node), cancel.why, cancel.leaf);
+    auto e = of(What::cancelled, line_of(call.node), cancel.explanation, cancel.leaf);
     e.call = static_cast<std::uint16_t>(cancel.call);
     timeline_.record(e);
   }
   for (const auto& send : answer.sends) {
-    auto e = of(What::sent, line_of(send.node), send.why, send.leaf);
+    auto e = of(What::sent, line_of(send.node), send.explanation, send.leaf);
     e.call = static_cast<std::uint16_t>(q.leaves[static_cast<std::size_t>(send.leaf)].calls.size());
     e.other = kNoLine;
     for (const auto& judge : judged)
-      if (judge.leaf == send.leaf && judge.why.reason == Reason::dearer && judge.why.a <= send.why.b)
+      if (judge.leaf == send.leaf && judge.explanation.reason == Reason::worse_score &&
+          judge.explanation.a <= send.explanation.b)
         e.other = line_of(judge.node);
     timeline_.record(e);
     if (departs_ && line_of(send.node) != kNoLine) departures_.sent(send.node, q.vertical, now);
   }
-  if (answer.end == End::none) return;
-  auto e = of(What::ended, kLoop, answer.why, 0);
-  e.call = static_cast<std::uint16_t>(answer.end);
+  if (answer.query_end == QueryEnd::none) return;
+  auto e = of(What::ended, kLoop, answer.explanation, 0);
+  e.call = static_cast<std::uint16_t>(answer.query_end);
   timeline_.record(e);
 }
 
-void Recorder::settled(long long query, const Query& q, int leaf, int call, double now) {
+void Recorder::on_outcome(long long query, const Query& q, int leaf, int call, double now) {
   const auto& made = q.leaves[static_cast<std::size_t>(leaf)].calls[static_cast<std::size_t>(call)];
   auto e = event(What::outcome, line_of(made.node), static_cast<std::uint8_t>(made.outcome), now);
   e.vertical = static_cast<std::int16_t>(q.vertical);
   e.query = static_cast<std::uint32_t>(query);
   e.leaf = static_cast<std::uint16_t>(leaf);
   e.call = static_cast<std::uint16_t>(call);
-  e.a = static_cast<float>(now - made.sent);
+  e.a = static_cast<float>(now - made.sent_at);
   timeline_.record(e);
-  if (departs_ && e.line != kNoLine) departures_.ended(made.node, q.vertical, made.outcome, made.sent, now);
+  if (departs_ && e.line != kNoLine)
+    departures_.ended(made.node, q.vertical, made.outcome, made.sent_at, now);
 }
 
 void Recorder::listed(int number, const std::string& name, const std::string& address, bool up, double born,
@@ -131,7 +134,7 @@
   node = {};
 }
 
-void Recorder::believed(int number, Belief belief, double now) {
+void Recorder::believed(int number, NodeHealth belief, double now) {
   auto& node = at(number);
   if (node.belief == belief) return;
   node.belief = belief;
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -14,21 +14,21 @@
 
 namespace yoketurn {
 
-class Recorder : public Witness {
+class Recorder : public QueryObserver {
  public:
   Recorder(const Timeline::Budget& budget, const DepartureLimits& limits, bool departures, int verticals,
            double now, double unix_at_zero);
 
-  void decided(long long query, const Query& q, const Answer& answer, std::span<const Judged> judged,
-               double now) override;
-  void settled(long long query, const Query& q, int leaf, int call, double now) override;
+  void on_decision(long long query, const Query& q, const Decision& answer,
+                   std::span<const DecisionTraceEntry> judged, double now) override;
+  void on_outcome(long long query, const Query& q, int leaf, int call, double now) override;
 
   // Of a node: its place in the list, where it is, since when; again whenever it is told.
   void listed(int node, const std::string& name, const std::string& address, bool up, double born,
               long long version, double now);
   void left(int node, long long version, double now);  // gone, as told
   void forgotten(int node, double now);                // its number may be given again
-  void believed(int node, Belief belief, double now);
+  void believed(int node, NodeHealth belief, double now);
   void load_asked(int node, double now);
   void load_answered(int node, double now);  // whatever it says
   void reported(int node, double in_flight, double queue, double measured, Report kind, double now);
@@ -55,7 +55,7 @@
     std::string name;
     double born = 0;
     int told = -1;  // 1: up
-    Belief belief = Belief::unheard;
+    NodeHealth belief = NodeHealth::unknown;
     double in_flight = -1, queue = -1, measured = 0;
   };
   Node& at(int node);
--- a/tests/node_connection_test.cpp
+++ b/tests/node_connection_test.cpp
@@ -56,7 +56,7 @@
     for (const auto end = std::chrono::steady_clock::now() + time; std::chrono::steady_clock::now() < end;) {
       context.restart();
       context.run_for(std::chrono::milliseconds(1));
-      due.run(now());
+      due.run_due(now());
     }
   }
   template <class Holds>
@@ -93,7 +93,7 @@
 
   asio::io_context context;
   tcp::acceptor acceptor{context, kLoopback};
-  DueTimes due;
+  TimerQueue due;
   Outcomes outcomes;
   Log log{stderr, {false, spdlog::level::off, 16}};
   NodeConnection::Limits limits;
@@ -151,7 +151,7 @@
   for (const auto query : {0, 1}) {
     CAPTURE(query);
     const auto outcome = router.outcomes.by_query[query];
-    CHECK((outcome == Outcome::broken || outcome == Outcome::spoilt));
+    CHECK((outcome == Outcome::disconnected || outcome == Outcome::malformed));
   }
 }
 
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -32,8 +32,8 @@
     Settings s;
     s.zone = own;
     s.start_capacity = 0.3;
-    s.cold_time = 10;
-    s.fall_multiple = 2;
+    s.slow_start_time = 10;
+    s.overload_multiple = 2;
     return s;
   }
   void set_site_behavior(int site, Behavior what) {
@@ -63,9 +63,10 @@
       const auto shares = monitor.shares();
       if (!shares.empty()) {
         const auto& s = shares[static_cast<std::size_t>(site)];
-        const auto born = hosts[static_cast<std::size_t>(node)].born;
-        if (born <= s.since && s.lost && !s.trial) continue;
-        if (born <= s.since && !s.lost && std::uniform_real_distribution<>(0, 1)(random) >= s.share) continue;
+        const auto started_at = hosts[static_cast<std::size_t>(node)].started_at;
+        if (started_at <= s.lost_at && s.lost && !s.probe_allowed) continue;
+        if (started_at <= s.lost_at && !s.lost && std::uniform_real_distribution<>(0, 1)(random) >= s.share)
+          continue;
       }
       send(node);
     }
@@ -111,7 +112,7 @@
   int nodes_per_site;
   std::mt19937 random;
   double now = 100, last_tick = 100, latency_factor = 1;
-  std::vector<Host> hosts;
+  std::vector<DiscoveredNode> hosts;
   std::vector<Behavior> behavior;
   std::deque<PendingCall> pending;
   std::vector<SiteHealthChange> changes;
@@ -243,7 +244,7 @@
   CHECK(alone.monitor.shares().empty());
   Settings s;
   SiteHealthMonitor none(s, 1);
-  const Host host{0, kNone, 0, true, 0};
+  const DiscoveredNode host{0, kNone, 0, true, 0};
   none.update_nodes({&host, 1}, true, 1);
   none.on_call_sent(0, 1);
   none.on_call_ended(0, 1, Outcome::unreachable, 1.1);
@@ -334,11 +335,11 @@
   REQUIRE(cluster.lost(1));
   cluster.monitor.update_nodes(cluster.hosts, true, cluster.now);
   CHECK(cluster.lost(1));
-  for (int n = 8; n < 16; ++n) cluster.hosts[static_cast<std::size_t>(n)].born = cluster.now;
+  for (int n = 8; n < 16; ++n) cluster.hosts[static_cast<std::size_t>(n)].started_at = cluster.now;
   cluster.monitor.update_nodes(cluster.hosts, true, cluster.now);
   CHECK(cluster.monitor.health(1) == SiteHealth::returning);
   // The loss of the old processes does not apply to the new ones.
-  CHECK(cluster.hosts[8].born > cluster.monitor.shares()[1].since);
+  CHECK(cluster.hosts[8].started_at > cluster.monitor.shares()[1].lost_at);
 }
 
 TEST_CASE("an evacuation empties a site at its rate, is held back while another is lost, and ends") {
