--- a/bench/departures.cpp
+++ b/bench/departures.cpp
@@ -54,8 +54,8 @@
             spec.planted = {{row.trouble, severity, from, from + length, kNone, {3}}};
             double first = 0;
             for (const auto& news : streams::tell(spec)) {
-              if (news.returned) continue;
-              if (news.node == 3 && news.noticed >= from && first == 0) first = news.noticed;
+              if (news.ended) continue;
+              if (news.node == 3 && news.detected_at >= from && first == 0) first = news.detected_at;
               if (news.node != 3) ++others;
             }
             if (first > 0) delays.push_back(first - from);
@@ -76,7 +76,7 @@
       spec.hedge = 4;
       spec.length = rate > 10 ? 3600 : 4 * 3600;
       int alarms = 0;
-      for (const auto& news : streams::tell(spec)) alarms += news.returned ? 0 : 1;
+      for (const auto& news : streams::tell(spec)) alarms += news.ended ? 0 : 1;
       const auto hours = spec.nodes * spec.length / 3600;
       fmt::print("{},{},{},{},{:.2f}\n", rate, lost, hours, alarms, alarms / hours * 24);
     }
@@ -92,7 +92,7 @@
     for (int run = 0; run < 60; ++run) {
       std::mt19937 chance(static_cast<unsigned>(run));
       auto detector = make(bound);
-      Usual usual;
+      Baseline usual;
       double now = 0;
       bool noticed = false;
       const double from = 3600;
@@ -101,7 +101,7 @@
         const auto bad = now > from;
         const auto value =
             std::log(0.02) + 0.5 * std::normal_distribution<>()(chance) + (bad ? std::log(3.0) : 0);
-        if (usual.many() < 20) {
+        if (usual.count() < 20) {
           usual.add(value);
           continue;
         }
--- a/bench/events.cpp
+++ b/bench/events.cpp
@@ -65,31 +65,31 @@
 BENCHMARK(versions_change)->Arg(10)->Arg(200)->Arg(2000)->Unit(benchmark::kMicrosecond);
 
 void departures(benchmark::State& state) {
-  Departures watch({}, 3, 0);
+  AnomalyDetector watch({}, 3, 0);
   const auto nodes = static_cast<int>(state.range(0));
-  for (int i = 0; i < nodes; ++i) watch.known(i, 0, 0);
+  for (int i = 0; i < nodes; ++i) watch.add_node(i, 0, 0);
   double now = 0;
   int next = 0;
   for (auto _ : state) {
     now += 1e-4;
     const auto node = next++ % nodes;
-    watch.sent(node, 0, now);
-    watch.ended(node, 0, Outcome::success, now, now + 0.01);
+    watch.on_call_sent(node, 0, now);
+    watch.on_call_ended(node, 0, Outcome::success, now, now + 0.01);
   }
 }
 BENCHMARK(departures)->Arg(10)->Arg(200)->Arg(2000);
 
 void departures_tick(benchmark::State& state) {
-  Departures watch({}, 3, 0);
+  AnomalyDetector watch({}, 3, 0);
   const auto nodes = static_cast<int>(state.range(0));
   double now = 0;
   for (int i = 0; i < nodes; ++i) {
-    watch.known(i, 0, 0);
+    watch.add_node(i, 0, 0);
     for (int j = 0; j < 40; ++j) {
-      watch.sent(i, 0, now);
-      watch.ended(i, 0, Outcome::success, now, now + 0.01);
+      watch.on_call_sent(i, 0, now);
+      watch.on_call_ended(i, 0, Outcome::success, now, now + 0.01);
     }
-    watch.sent(i, 0, now);
+    watch.on_call_sent(i, 0, now);
   }
   for (auto _ : state) benchmark::DoNotOptimize(watch.tick(now += 1e-6));
 }
--- a/bench/streams.hpp
+++ b/bench/streams.hpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <vector>
 
-#include "departures/departures.hpp"
+#include "anomalies/anomaly_detector.hpp"
 
 namespace yoketurn::streams {
 
@@ -153,25 +153,25 @@
   }
 }
 
-// All that Departures tell of a stream.
-inline std::vector<DepartureNews> tell(const Spec& spec, const DepartureLimits& limits = {}) {
-  Departures departures(limits, spec.verticals, 0);
-  std::vector<DepartureNews> told;
+// All events that the anomaly detector reports for a stream.
+inline std::vector<AnomalyEvent> tell(const Spec& spec, const AnomalyLimits& limits = {}) {
+  AnomalyDetector detector(limits, spec.verticals, 0);
+  std::vector<AnomalyEvent> told;
   for (int node = 0; node < spec.nodes; ++node) {
-    departures.known(node, 0, 0);
-    departures.state(node, true, 0);
+    detector.add_node(node, 0, 0);
+    detector.set_node_up(node, true, 0);
   }
   Sink sink;
-  sink.sent = [&](int node, int vertical, double now) { departures.sent(node, vertical, now); };
+  sink.sent = [&](int node, int vertical, double now) { detector.on_call_sent(node, vertical, now); };
   sink.ended = [&](int node, int vertical, Outcome outcome, double sent, double now) {
-    departures.ended(node, vertical, outcome, sent, now);
+    detector.on_call_ended(node, vertical, outcome, sent, now);
   };
   sink.report = [&](int node, double measured, bool changed, double now) {
-    departures.report(node, measured, changed, now);
+    detector.on_load_report(node, measured, changed, now);
   };
-  sink.stood_still = [&](double seconds, double now) { departures.stood_still(seconds, now); };
+  sink.stood_still = [&](double seconds, double now) { detector.on_router_stall(seconds, now); };
   sink.tick = [&](double now) {
-    for (const auto& news : departures.tick(now)) told.push_back(news);
+    for (const auto& news : detector.tick(now)) told.push_back(news);
   };
   run(spec, sink);
   return told;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -44,7 +44,7 @@
   return {operators.log.json, spdlog::level::from_str(operators.log.level), operators.log.queue};
 }
 
-DepartureLimits departure_limits(const Operators& operators, const Settings& settings) {
+AnomalyLimits departure_limits(const Operators& operators, const Settings& settings) {
   const auto& d = operators.departures;
   return {d.slow,    d.stall,  d.least, d.fails, d.flaps,
           d.reports, d.alarms, d.fleet, d.most,  settings.slow_start_time};
@@ -357,10 +357,10 @@
   for (const auto& news : recorder_->tick(at, unix_time_at_zero())) {
     const auto vertical =
         news.vertical == kNone ? "-" : config_.verticals[static_cast<std::size_t>(news.vertical)].c_str();
-    log_.line(news.returned ? "returned" : "departed",
+    log_.line(news.ended ? "returned" : "departed",
               "node={} kind={} vertical={} began={:.3f} evidence={:.4g} usual={:.4g}",
               recorder_->name_of(news.node), why_name(What::departed, static_cast<std::uint8_t>(news.kind)),
-              vertical, news.began + unix_at_zero_, news.evidence, news.usual);
+              vertical, news.started_at + unix_at_zero_, news.evidence, news.baseline);
   }
   if (const auto every = config_.operators.timeline.reports; every > 0 && at >= reports_at_) {
     reports_at_ = at + every;
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -4,9 +4,9 @@
 
 namespace yoketurn {
 
-Recorder::Recorder(const Timeline::Budget& budget, const DepartureLimits& limits, bool departures,
+Recorder::Recorder(const Timeline::Budget& budget, const AnomalyLimits& limits, bool departures,
                    int verticals, double now, double unix_at_zero)
-    : timeline_(budget, now, unix_at_zero), departures_(limits, verticals, now), departs_(departures) {}
+    : timeline_(budget, now, unix_at_zero), anomaly_detector_(limits, verticals, now), departs_(departures) {}
 
 Recorder::Node& Recorder::at(int node) {
   const auto i = static_cast<std::size_t>(node);
@@ -21,7 +21,7 @@
 }
 
 std::string Recorder::name_of(int node) const {
-  if (node == kFleet) return "fleet";
+  if (node == kWholeFleet) return "fleet";
   return static_cast<std::size_t>(node) < nodes_.size() ? nodes_[static_cast<std::size_t>(node)].name : "?";
 }
 
@@ -73,7 +73,7 @@
           judge.explanation.a <= send.explanation.b)
         e.other = line_of(judge.node);
     timeline_.record(e);
-    if (departs_ && line_of(send.node) != kNoLine) departures_.sent(send.node, q.vertical, now);
+    if (departs_ && line_of(send.node) != kNoLine) anomaly_detector_.on_call_sent(send.node, q.vertical, now);
   }
   if (answer.query_end == QueryEnd::none) return;
   auto e = of(What::ended, kLoop, answer.explanation, 0);
@@ -91,7 +91,7 @@
   e.a = static_cast<float>(now - made.sent_at);
   timeline_.record(e);
   if (departs_ && e.line != kNoLine)
-    departures_.ended(made.node, q.vertical, made.outcome, made.sent_at, now);
+    anomaly_detector_.on_call_ended(made.node, q.vertical, made.outcome, made.sent_at, now);
 }
 
 void Recorder::listed(int number, const std::string& name, const std::string& address, bool up, double born,
@@ -108,8 +108,8 @@
   }
   node.born = born;
   if (departs_ && node.line != kNoLine) {
-    departures_.known(number, born, now);
-    departures_.state(number, up, now);
+    anomaly_detector_.add_node(number, born, now);
+    anomaly_detector_.set_node_up(number, up, now);
   }
   if (node.told == (up ? 1 : 0)) return;
   node.told = up ? 1 : 0;
@@ -124,12 +124,12 @@
   auto e = event(What::gone, node.line, 0, now);
   e.a = static_cast<float>(version);
   timeline_.record(e);
-  if (departs_ && node.line != kNoLine) departures_.state(number, false, now);
+  if (departs_ && node.line != kNoLine) anomaly_detector_.set_node_up(number, false, now);
 }
 
 void Recorder::forgotten(int number, double now) {
   auto& node = at(number);
-  if (departs_ && node.line != kNoLine) departures_.forget(number, now);
+  if (departs_ && node.line != kNoLine) anomaly_detector_.remove_node(number, now);
   timeline_.close(node.line, now);
   node = {};
 }
@@ -142,11 +142,11 @@
 }
 
 void Recorder::load_asked(int node, double now) {
-  if (departs_ && line_of(node) != kNoLine) departures_.load_asked(node, now);
+  if (departs_ && line_of(node) != kNoLine) anomaly_detector_.on_load_request(node, now);
 }
 
 void Recorder::load_answered(int node, double now) {
-  if (departs_ && line_of(node) != kNoLine) departures_.load_answered(node, now);
+  if (departs_ && line_of(node) != kNoLine) anomaly_detector_.on_load_response(node, now);
 }
 
 void Recorder::reported(int number, double in_flight, double queue, double measured, Report kind,
@@ -166,7 +166,7 @@
   node.in_flight = in_flight;
   node.queue = queue;
   node.measured = measured;
-  if (departs_ && node.line != kNoLine) departures_.report(number, measured, changed, now);
+  if (departs_ && node.line != kNoLine) anomaly_detector_.on_load_report(number, measured, changed, now);
 }
 
 void Recorder::opened(int node, double took, double now) {
@@ -180,8 +180,8 @@
   const auto trouble = why == Closing::refused || why == Closing::timed_out || why == Closing::broken ||
                        why == Closing::spoilt;
   if (!departs_ || line_of(node) == kNoLine) return;
-  departures_.load_closed(node, now);
-  if (trouble) departures_.trouble(node, now);
+  anomaly_detector_.on_load_connection_closed(node, now);
+  if (trouble) anomaly_detector_.on_connection_error(node, now);
 }
 
 void Recorder::taken(long long query, std::string_view id, int vertical, double now) {
@@ -230,20 +230,21 @@
   e.a = static_cast<float>(a);
   e.b = static_cast<float>(b);
   timeline_.record(e);
-  if (departs_ && what == What::stood_still) departures_.stood_still(a, now);
+  if (departs_ && what == What::stood_still) anomaly_detector_.on_router_stall(a, now);
 }
 
-std::vector<DepartureNews> Recorder::tick(double now, double unix_at_zero) {
+std::vector<AnomalyEvent> Recorder::tick(double now, double unix_at_zero) {
   timeline_.tick(now, unix_at_zero);
   if (!departs_) return {};
-  auto news = departures_.tick(now);
+  auto news = anomaly_detector_.tick(now);
   for (const auto& one : news) {
-    auto e = event(one.returned ? What::returned : What::departed,
-                   one.node == kFleet ? kLoop : line_of(one.node), static_cast<std::uint8_t>(one.kind), now);
+    auto e =
+        event(one.ended ? What::returned : What::departed,
+              one.node == kWholeFleet ? kLoop : line_of(one.node), static_cast<std::uint8_t>(one.kind), now);
     e.vertical = static_cast<std::int16_t>(one.vertical);
     e.a = static_cast<float>(one.evidence);
-    e.b = static_cast<float>(one.usual);
-    e.c = static_cast<float>(now - one.began);
+    e.b = static_cast<float>(one.baseline);
+    e.c = static_cast<float>(now - one.started_at);
     timeline_.record(e);
   }
   return news;
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "departures/departures.hpp"
+#include "anomalies/anomaly_detector.hpp"
 #include "queries/witness.hpp"
 #include "sites/sites.hpp"
 #include "timeline/timeline.hpp"
@@ -16,7 +16,7 @@
 
 class Recorder : public QueryObserver {
  public:
-  Recorder(const Timeline::Budget& budget, const DepartureLimits& limits, bool departures, int verticals,
+  Recorder(const Timeline::Budget& budget, const AnomalyLimits& limits, bool departures, int verticals,
            double now, double unix_at_zero);
 
   void on_decision(long long query, const Query& q, const Decision& answer,
@@ -43,7 +43,7 @@
   void loop(What what, std::uint8_t why, double a, double b, double now);
 
   // Departures that are new; the clock against the common one.
-  std::vector<DepartureNews> tick(double now, double unix_at_zero);
+  std::vector<AnomalyEvent> tick(double now, double unix_at_zero);
 
   Timeline& timeline() { return timeline_; }
   const Timeline& timeline() const { return timeline_; }
@@ -63,7 +63,7 @@
   Event event(What what, std::uint32_t line, std::uint8_t why, double now) const;
 
   Timeline timeline_;
-  Departures departures_;
+  AnomalyDetector anomaly_detector_;
   bool departs_;
   std::vector<Node> nodes_;
   std::unordered_map<std::string, std::uint32_t> sites_;  // their lines
