--- a/bench/audit.cpp
+++ b/bench/audit.cpp
@@ -43,21 +43,21 @@
     for (int i = 0; i < many; ++i)
       routers.push_back({"r-" + std::to_string(i), "s-" + std::to_string(i % 3), 0, 1, 0, 0, {}});
   }
-  ToldInterval told(const One& r, double to) const {
-    ToldInterval t;
+  ReportedInterval told(const One& r, double to) const {
+    ReportedInterval t;
     t.verticals = {"look"};
     auto& i = t.interval;
     i.number = r.number;
-    i.from = r.since;
-    i.to = to;
-    i.by[0] = {r.count, 1, static_cast<std::uint64_t>(r.count) * 7919};
-    i.acts.push_back({10, 1});
+    i.started_at = r.since;
+    i.ended_at = to;
+    i.versions[0] = {r.count, 1, static_cast<std::uint64_t>(r.count) * 7919};
+    i.actions.push_back({10, 1});
     for (int n = 0; n < 6; ++n)
       i.nodes.push_back({n, "node-" + std::to_string(n), 2, 0, r.since, r.since + 0.1});
     return t;
   }
   // What has come by now is acted on.
-  void advance(double now, const std::function<void(const One&, const ToldInterval&)>& closed) {
+  void advance(double now, const std::function<void(const One&, const ReportedInterval&)>& closed) {
     for (auto& r : routers)
       while (!r.coming.empty() && r.coming.begin()->first <= now) {
         const auto [at, count] = *r.coming.begin();
@@ -70,13 +70,13 @@
       }
   }
   Seen seen(const One& r, double now) const {
-    Stand s;
+    VersionReport s;
     s.router = r.name;
     s.site = r.site;
-    s.unix = now;
+    s.unix_time = now;
     s.serving = true;
-    s.began = 1;
-    s.by[0] = {r.count, 1, static_cast<std::uint64_t>(r.count) * 7919, "a", r.since, r.since};
+    s.process_started_at = 1;
+    s.versions[0] = {r.count, 1, static_cast<std::uint64_t>(r.count) * 7919, "a", r.since, r.since};
     return {s, now, 0, 0.001};
   }
 };
@@ -128,7 +128,7 @@
         r.coming.emplace(next + lag, stream.version);
       }
     }
-    stream.advance(now, [&](const Stream::One& r, const ToldInterval& t) { account.take(r.name, 1, t); });
+    stream.advance(now, [&](const Stream::One& r, const ReportedInterval& t) { account.take(r.name, 1, t); });
     for (const auto& r : stream.routers) {
       account.take(stream.seen(r, now));
       account.take(r.name, 1, stream.told(r, 0));
@@ -198,8 +198,8 @@
       for (auto& r : stream.routers) r.coming.emplace(now + 0.1 * i + usual(chance), stream.version);
     }
     auto began = seconds();
-    std::vector<std::pair<const Stream::One*, ToldInterval>> all;
-    stream.advance(now, [&](const Stream::One& r, const ToldInterval& t) { all.push_back({&r, t}); });
+    std::vector<std::pair<const Stream::One*, ReportedInterval>> all;
+    stream.advance(now, [&](const Stream::One& r, const ReportedInterval& t) { all.push_back({&r, t}); });
     for (const auto& r : stream.routers) all.push_back({&r, stream.told(r, 0)});
     began = seconds();
     for (const auto& [r, t] : all) account.take(r->name, 1, t);
@@ -222,7 +222,7 @@
   const fleet::Store again(path, fleet::Store::Use::read);
   const auto loaded = again.load(false);
   const auto read = seconds() - began;
-  const auto spreads = loaded.spreads(Subject::list);
+  const auto spreads = loaded.spreads(VersionedInput::list);
   const auto told = seconds() - began;
   fmt::print(
       "routers {} seconds {:g}: of a core merging {:.1f}%, keeping {:.1f}%, judging {:.1f}%; memory {:.0f} "
--- a/bench/events.cpp
+++ b/bench/events.cpp
@@ -33,33 +33,33 @@
 
 // What a part adds to the account of versions: its send, its end.
 void versions(benchmark::State& state) {
-  Versions versions({512, 12288}, 4, 0);
+  VersionTracker versions({512, 12288}, 4, 0);
   const auto nodes = static_cast<int>(state.range(0));
-  versions.list(1, 1, "a", true, 0, 0);
-  for (int i = 0; i < nodes; ++i) versions.listed(i, "n" + std::to_string(i), true);
+  versions.apply_list(1, 1, "a", true, 0, 0);
+  for (int i = 0; i < nodes; ++i) versions.set_node(i, "n" + std::to_string(i), true);
   double now = 0;
   int next = 0;
   for (auto _ : state) {
     now += 1e-4;
     const auto node = next++ % nodes;
-    versions.sent(node & 3, Act::first, node, now);
-    versions.ended(node, Outcome::success, now);
+    versions.record_sent(node & 3, RouterAction::first, node, now);
+    versions.on_call_ended(node, Outcome::success, now);
   }
 }
 BENCHMARK(versions)->Arg(10)->Arg(200)->Arg(2000);
 
 // A change of the list: an interval ends, another begins.
 void versions_change(benchmark::State& state) {
-  Versions versions({512, 12288}, 4, 0);
+  VersionTracker versions({512, 12288}, 4, 0);
   const auto nodes = static_cast<int>(state.range(0));
-  for (int i = 0; i < nodes; ++i) versions.listed(i, "n" + std::to_string(i), true);
+  for (int i = 0; i < nodes; ++i) versions.set_node(i, "n" + std::to_string(i), true);
   double now = 0;
   long long count = 0;
   for (auto _ : state) {
     now += 0.1;
-    for (int i = 0; i < 30; ++i) versions.sent(0, Act::first, (i * 7) % nodes, now);
+    for (int i = 0; i < 30; ++i) versions.record_sent(0, RouterAction::first, (i * 7) % nodes, now);
     ++count;
-    versions.list(count, static_cast<std::uint64_t>(count), "a", false, now, now);
+    versions.apply_list(count, static_cast<std::uint64_t>(count), "a", false, now, now);
   }
 }
 BENCHMARK(versions_change)->Arg(10)->Arg(200)->Arg(2000)->Unit(benchmark::kMicrosecond);
--- a/src/audit/account.cpp
+++ b/src/audit/account.cpp
@@ -39,12 +39,14 @@
     router.reached = seen.at;
     if (router.missed <= seen.at) router.missed = 0;
   }
-  const auto order = [](const Seen& s) { return std::tuple(s.at, s.stand.unix, s.stand.began); };
+  const auto order = [](const Seen& s) {
+    return std::tuple(s.at, s.stand.unix_time, s.stand.process_started_at);
+  };
   if (!router.last || order(seen) > order(*router.last)) router.last = seen;
-  const auto near = router.lives.lower_bound(seen.stand.began - kSame);
-  const auto known = near != router.lives.end() && near->first <= seen.stand.began + kSame;
-  auto& life = known ? near->second : router.lives[seen.stand.began];
-  if (!known) life.began = seen.stand.began;
+  const auto near = router.lives.lower_bound(seen.stand.process_started_at - kSame);
+  const auto known = near != router.lives.end() && near->first <= seen.stand.process_started_at + kSame;
+  auto& life = known ? near->second : router.lives[seen.stand.process_started_at];
+  if (!known) life.began = seen.stand.process_started_at;
   // The tightest of all exchanges bounds the clocks best.
   if (std::pair(seen.bound, seen.offset) < std::pair(life.bound, life.offset)) {
     life.bound = seen.bound;
@@ -52,11 +54,11 @@
   }
   life.first_seen = life.first_seen > 0 ? std::min(life.first_seen, seen.at) : seen.at;
   life.last_seen = std::max(life.last_seen, seen.at);
-  life.gap_until = std::max(life.gap_until, seen.stand.gap_until);
+  life.gap_until = std::max(life.gap_until, seen.stand.dropped_until);
 }
 
 // An interval that goes on is told again and again: the one that has come furthest stands.
-void Account::take(const std::string& name, double began, const ToldInterval& told) {
+void Account::take(const std::string& name, double began, const ReportedInterval& told) {
   auto& router = of(name);
   const auto near = router.lives.lower_bound(began - kSame);
   const auto found = near != router.lives.end() && near->first <= began + kSame;
@@ -66,10 +68,10 @@
   auto& held = life.intervals[told.interval.number];
   const auto further = [](const Interval& i) {
     std::uint64_t acts = 0;
-    for (const auto sum : i.sums()) acts += sum;
-    return std::tuple(i.to > 0, acts, i.nodes.size());
+    for (const auto sum : i.total_actions()) acts += sum;
+    return std::tuple(i.ended_at > 0, acts, i.nodes.size());
   };
-  if (held.from == 0 || further(told.interval) > further(held)) held = told.interval;
+  if (held.started_at == 0 || further(told.interval) > further(held)) held = told.interval;
 }
 
 void Account::missed(const std::string& name, double at) {
@@ -82,19 +84,19 @@
     for (auto& [began, life] : router.lives)
       std::erase_if(life.intervals, [&](const auto& one) {
         const auto& [number, interval] = one;
-        if (interval.to <= 0 || interval.to - life.offset >= at) return false;
-        life.gap_until = std::max(life.gap_until, interval.to);
+        if (interval.ended_at <= 0 || interval.ended_at - life.offset >= at) return false;
+        life.gap_until = std::max(life.gap_until, interval.ended_at);
         return true;
       });
     std::erase_if(router.lives, [&](const auto& one) {
       const auto& life = one.second;
       return life.intervals.empty() && life.last_seen < at &&
-             (!router.last || std::abs(router.last->stand.began - life.began) > kSame);
+             (!router.last || std::abs(router.last->stand.process_started_at - life.began) > kSame);
     });
   }
 }
 
-std::vector<Acting> Account::acting(const std::string& name, Subject subject, double since) const {
+std::vector<Acting> Account::acting(const std::string& name, VersionedInput subject, double since) const {
   std::vector<Acting> all;
   const auto at = routers_.find(name);
   if (at == routers_.end()) return all;
@@ -103,18 +105,18 @@
     auto first = life.intervals.end();
     while (first != life.intervals.begin()) {
       const auto& before = std::prev(first)->second;
-      if (before.to > 0 && before.to - life.offset < since) break;
+      if (before.ended_at > 0 && before.ended_at - life.offset < since) break;
       --first;
     }
     for (; first != life.intervals.end(); ++first) {
       const auto& interval = first->second;
-      const auto& held = interval.by[static_cast<std::size_t>(subject)];
+      const auto& held = interval.versions[static_cast<std::size_t>(subject)];
       if (held.epoch == 0) continue;  // nothing was known yet
       Acting next{held.count,
                   held.epoch,
                   held.hash,
-                  interval.from - life.offset,
-                  interval.to > 0 ? interval.to - life.offset : 0,
+                  interval.started_at - life.offset,
+                  interval.ended_at > 0 ? interval.ended_at - life.offset : 0,
                   life.bound,
                   began};
       if (!all.empty() && all.back().life == began && all.back().key(subject) == next.key(subject))
@@ -137,14 +139,19 @@
   return all;
 }
 
-std::optional<Acting> Account::now_acting(const std::string& name, Subject subject) const {
+std::optional<Acting> Account::now_acting(const std::string& name, VersionedInput subject) const {
   const auto at = routers_.find(name);
   if (at == routers_.end() || !at->second.last) return std::nullopt;
   const auto& seen = *at->second.last;
-  const auto& version = seen.stand.by[static_cast<std::size_t>(subject)];
+  const auto& version = seen.stand.versions[static_cast<std::size_t>(subject)];
   if (version.epoch == 0) return std::nullopt;
-  return Acting{version.count, version.epoch,   version.hash, version.acted - seen.offset, 0,
-                seen.bound,    seen.stand.began};
+  return Acting{version.count,
+                version.epoch,
+                version.hash,
+                version.applied_at - seen.offset,
+                0,
+                seen.bound,
+                seen.stand.process_started_at};
 }
 
 std::vector<std::pair<double, double>> Account::holes(const std::string& name) const {
@@ -158,15 +165,15 @@
       known_until = life.gap_until - life.offset;
     }
     if (life.gap_until <= 0 && !life.intervals.empty() && life.intervals.begin()->first > 0)
-      found.push_back({known_until, life.intervals.begin()->second.from - life.offset});
+      found.push_back({known_until, life.intervals.begin()->second.started_at - life.offset});
     const Interval* before = nullptr;
     for (const auto& [number, interval] : life.intervals) {
       if (before != nullptr && number != before->number + 1)
-        found.push_back({before->to - life.offset, interval.from - life.offset});
+        found.push_back({before->ended_at - life.offset, interval.started_at - life.offset});
       before = &interval;
     }
     // What came after the last word that was heard.
-    if (before != nullptr && before->to <= 0 && life.last_seen > 0 &&
+    if (before != nullptr && before->ended_at <= 0 && life.last_seen > 0 &&
         (std::next(at->second.lives.find(began)) != at->second.lives.end() || at->second.missed > 0))
       found.push_back({life.last_seen, 0});
   }
@@ -179,7 +186,7 @@
   return acted[std::clamp<std::size_t>(i, 1, acted.size()) - 1].first - first;
 }
 
-std::vector<Spread> Account::spreads(Subject subject) const {
+std::vector<Spread> Account::spreads(VersionedInput subject) const {
   std::map<std::pair<long long, std::uint64_t>, Spread> by_key;
   std::map<std::string, std::vector<Acting>> of_router;
   for (const auto& [name, router] : routers_) {
@@ -233,7 +240,7 @@
         found.push_back({ForkKind::two_processes, name, name, 0, 0, 0, life.first_seen});
       before = &life;
     }
-    const auto all = acting(name, Subject::list, since);
+    const auto all = acting(name, VersionedInput::list, since);
     for (std::size_t i = 1; i < all.size(); ++i)
       if (all[i].count < all[i - 1].count) {
         restarts.push_back(all[i].from);
@@ -244,20 +251,22 @@
   std::sort(restarts.begin(), restarts.end());
   // The same restart reaches the routers one after the other; what was told while it did is of no known
   // epoch.
-  struct Told {
+  struct VersionsLine {
     const std::string* router;
     Acting acting;
     int restarts;
   };
-  std::map<long long, std::vector<Told>> by_count;
+  std::map<long long, std::vector<VersionsLine>> by_count;
   for (const auto& [name, router] : routers_)
-    for (const auto& a : acting(name, Subject::list, since)) {
+    for (const auto& a : acting(name, VersionedInput::list, since)) {
       const auto passed =
           std::upper_bound(restarts.begin(), restarts.end(), a.from + kSame) - restarts.begin();
       by_count[a.count].push_back({&name, a, static_cast<int>(passed)});
     }
   for (const auto& [count, told] : by_count) {
-    const auto alike = [&, hash = told.front().acting.hash](const Told& t) { return t.acting.hash == hash; };
+    const auto alike = [&, hash = told.front().acting.hash](const VersionsLine& t) {
+      return t.acting.hash == hash;
+    };
     if (std::all_of(told.begin(), told.end(), alike)) continue;
     std::set<std::pair<std::string, std::uint64_t>> said;
     for (std::size_t i = 0; i < told.size(); ++i)
@@ -283,14 +292,14 @@
       for (const auto& [number, interval] : life.intervals)
         for (const auto& acts : interval.nodes) {
           if (acts.name != node) continue;
-          const auto& list = interval.by[static_cast<std::size_t>(Subject::list)];
+          const auto& list = interval.versions[static_cast<std::size_t>(VersionedInput::list)];
           NodeSender next{name,
                           list.count,
                           list.hash,
                           acts.sent,
                           acts.unsent,
-                          acts.first - life.offset,
-                          acts.last - life.offset,
+                          acts.first_sent_at - life.offset,
+                          acts.last_sent_at - life.offset,
                           life.bound};
           auto* last = found.empty() ? nullptr : &found.back();
           if (last != nullptr && last->router == name && last->count == next.count &&
--- a/src/audit/account.hpp
+++ b/src/audit/account.hpp
@@ -17,7 +17,7 @@
 
 // A router's word as it reached the auditor.
 struct Seen {
-  Stand stand;
+  VersionReport stand;
   double at = 0;      // when it came
   double offset = 0;  // of the router's clock, over the auditor's
   double bound = 0;   // by which that may be wrong, either way
@@ -51,14 +51,14 @@
   double bound = 0;         // of both times
   double life = 0;          // the process's beginning
   // Of what it is: two with the same key are the same version.
-  std::pair<long long, std::uint64_t> key(Subject subject) const {
-    return {subject == Subject::list ? count : 0, hash};
+  std::pair<long long, std::uint64_t> key(VersionedInput subject) const {
+    return {subject == VersionedInput::list ? count : 0, hash};
   }
 };
 
 // How one version came to all.
 struct Spread {
-  Subject subject = Subject::list;
+  VersionedInput subject = VersionedInput::list;
   long long count = 0;
   std::uint64_t hash = 0;
   double first = 0;                                   // when the first router acted on it
@@ -91,16 +91,16 @@
 class Account {
  public:
   void take(const Seen& seen);
-  void take(const std::string& router, double began, const ToldInterval& told);
+  void take(const std::string& router, double began, const ReportedInterval& told);
   void missed(const std::string& router, double at);  // it did not answer
   void expect(const std::string& router, const std::string& site);
   void forget_before(double at);  // intervals that ended earlier
 
   const std::map<std::string, RouterAccount>& routers() const { return routers_; }
   // What ended before `since` is left out.
-  std::vector<Acting> acting(const std::string& router, Subject subject, double since = 0) const;
-  std::optional<Acting> now_acting(const std::string& router, Subject subject) const;
-  std::vector<Spread> spreads(Subject subject) const;
+  std::vector<Acting> acting(const std::string& router, VersionedInput subject, double since = 0) const;
+  std::optional<Acting> now_acting(const std::string& router, VersionedInput subject) const;
+  std::vector<Spread> spreads(VersionedInput subject) const;
   std::vector<Fork> forks(double since = 0) const;  // by what did not end before
   std::vector<NodeSender> senders(const std::string& node) const;
   // What is not known of a router: spans in the auditor's time.
--- a/src/audit/overseer.cpp
+++ b/src/audit/overseer.cpp
@@ -24,8 +24,8 @@
   std::map<std::string, std::pair<int, int>> sites;  // of each: all, out of reach
   for (const auto& m : fleet) {
     const auto ordered = out.find(m.router);
-    const auto is_out = !m.reachable || !m.serving || m.taking == Taking::aside || m.taking == Taking::out ||
-                        (ordered != out.end() && now < ordered->second);
+    const auto is_out = !m.reachable || !m.serving || m.taking == Participation::aside ||
+                        m.taking == Participation::out || (ordered != out.end() && now < ordered->second);
     const auto counts = m.router != router;  // it is asked about
     out_of_fleet += counts && is_out;
     if (m.site == who->site) {
@@ -50,33 +50,34 @@
 }
 
 // A router that reads other files or runs another program than the rest gains nothing by another list.
-std::vector<Step> Overseer::ladder(const Member& m) const {
-  if (m.subject == Subject::list) {
-    std::vector<Step> steps{Step::ask_again};
-    if (!m.agent.empty()) steps.push_back(Step::follow);
-    steps.insert(steps.end(), {Step::read_again, Step::step_aside, Step::shut_out});
+std::vector<OrderStep> Overseer::ladder(const Member& m) const {
+  if (m.subject == VersionedInput::list) {
+    std::vector<OrderStep> steps{OrderStep::ask_again};
+    if (!m.agent.empty()) steps.push_back(OrderStep::follow);
+    steps.insert(steps.end(), {OrderStep::read_again, OrderStep::step_aside, OrderStep::shut_out});
     return steps;
   }
-  if (m.subject == Subject::build) return {};  // only its staff can give it another program: it is told
-  return {Step::read_again, Step::step_aside};
+  if (m.subject == VersionedInput::build)
+    return {};  // only its staff can give it another program: it is told
+  return {OrderStep::read_again, OrderStep::step_aside};
 }
 
-void Overseer::outstanding(const std::string& router, Step step, double until) {
-  if (step != Step::step_aside && step != Step::shut_out) return;
+void Overseer::outstanding(const std::string& router, OrderStep step, double until) {
+  if (step != OrderStep::step_aside && step != OrderStep::shut_out) return;
   auto& course = courses_[router];
   course.holds = step;
   course.until = until;
   out_[router] = std::max(out_[router], until);
 }
 
-Order Overseer::give(const Member& m, Step step, std::string why, double now) {
+Order Overseer::give(const Member& m, OrderStep step, std::string why, double now) {
   return {term_,
           ++number_,
           m.router,
           step,
           std::move(why),
           now + limits_.lasts,
-          step == Step::follow ? m.agent : std::string()};
+          step == OrderStep::follow ? m.agent : std::string()};
 }
 
 std::vector<Order> Overseer::round(std::span<const Member> fleet, double now) {
@@ -86,8 +87,8 @@
   if (static_cast<double>(seen) < limits_.sight * static_cast<double>(fleet.size())) return orders;
   for (const auto& m : fleet) {
     auto& course = courses_[m.router];
-    const auto holds = course.holds != Step::last && now < course.until;
-    if (!holds) course.holds = Step::last;
+    const auto holds = course.holds != OrderStep::last && now < course.until;
+    if (!holds) course.holds = OrderStep::last;
     if (!m.reachable) continue;
     const auto behind = m.condition == Condition::straggler || m.condition == Condition::site_behind;
     if (!behind) {
@@ -99,7 +100,7 @@
       if (now < course.good_since + limits_.evidence) continue;
       // Back: it acts as the others do.
       if (holds) {
-        orders.push_back(give(m, Step::back, "it acts on what the others do", now));
+        orders.push_back(give(m, OrderStep::back, "it acts on what the others do", now));
         out_.erase(m.router);
       }
       course = {};
@@ -113,13 +114,13 @@
     const auto renews = holds && now > course.until - limits_.lasts / 2;
     const auto next = course.step + 1;
     const auto due = course.step < 0 || now >= course.stepped + limits_.patience;
-    auto step = Step::last;
+    auto step = OrderStep::last;
     if (due && next < static_cast<int>(steps.size()))
       step = steps[static_cast<std::size_t>(next)];
     else if (renews)
       step = course.holds;
-    if (step == Step::last) continue;
-    if (step == Step::step_aside || step == Step::shut_out) {
+    if (step == OrderStep::last) continue;
+    if (step == OrderStep::step_aside || step == OrderStep::shut_out) {
       const auto bound = m.condition == Condition::site_behind ? Guard::site_behind
                                                                : guard(fleet, m.router, out_, limits_, now);
       if (bound != Guard::none) {
--- a/src/audit/overseer.hpp
+++ b/src/audit/overseer.hpp
@@ -17,10 +17,10 @@
 struct Member {
   std::string router, site;
   bool reachable = true, serving = true;
-  Taking taking = Taking::in;
+  Participation taking = Participation::in;
   bool sees_site_lost = false;
   Condition condition = Condition::fine;
-  Subject subject = Subject::list;
+  VersionedInput subject = VersionedInput::list;
   double since = 0;
   std::string agent;   // another one it may follow; empty: there is none
   std::string doubts;  // in words
@@ -40,7 +40,7 @@
 
 struct HeldBack {
   std::string router;
-  Step step = Step::step_aside;
+  OrderStep step = OrderStep::step_aside;
   Guard guard = Guard::none;
 };
 
@@ -51,7 +51,7 @@
 
   std::vector<Order> round(std::span<const Member> fleet, double now);
   // What is known of orders given before, by whomever: those that may still hold count as out.
-  void outstanding(const std::string& router, Step step, double until);
+  void outstanding(const std::string& router, OrderStep step, double until);
   std::vector<HeldBack> held_back() { return std::exchange(held_back_, {}); }
   long long term() const { return term_; }
 
@@ -61,15 +61,15 @@
 
  private:
   struct Course {
-    int step = -1;            // of its ladder
-    double stepped = 0;       // when
-    Step holds = Step::last;  // what it was told to hold
+    int step = -1;                      // of its ladder
+    double stepped = 0;                 // when
+    OrderStep holds = OrderStep::last;  // what it was told to hold
     double until = 0;
     double good_since = 0;
     Guard told = Guard::none;
   };
-  std::vector<Step> ladder(const Member& member) const;
-  Order give(const Member& member, Step step, std::string why, double now);
+  std::vector<OrderStep> ladder(const Member& member) const;
+  Order give(const Member& member, OrderStep step, std::string why, double now);
 
   OverseerLimits limits_;
   long long term_, number_ = 0;
--- a/src/audit/stragglers.cpp
+++ b/src/audit/stragglers.cpp
@@ -61,7 +61,7 @@
 // The order in which the fleet came to its versions. A version that it came back to (a program rolled back, a
 // list that is again what it was) stands by the last time that a router went from the one straight to the
 // other.
-void Stragglers::order(const std::vector<Current>& routers, Subject subject) {
+void Stragglers::order(const std::vector<Current>& routers, VersionedInput subject) {
   places_.clear();
   for (const auto& router : routers) {
     const auto& all = router.lately;
@@ -97,7 +97,7 @@
   seen_ = 0;
   for (const auto& [name, router] : account.routers()) {
     auto& finding = found[name];
-    finding = {name, router.site, Condition::fine, Subject::list, 0, 0, 0, 0, 0, 0};
+    finding = {name, router.site, Condition::fine, VersionedInput::list, 0, 0, 0, 0, 0, 0};
     ++of_site[router.site];
     const auto reachable = router.last && router.reached + limits_.fresh >= now;
     if (!reachable) {
@@ -107,13 +107,13 @@
       continue;
     }
     ++seen_;
-    const auto began = router.last->stand.began - router.last->offset;
+    const auto began = router.last->stand.process_started_at - router.last->offset;
     if (now < began + limits_.starting || !router.last->stand.serving) {
       finding.condition = Condition::starting;
       finding.since = began;
-    } else if (!router.last->stand.doubts.empty()) {
+    } else if (!router.last->stand.suspicions.empty()) {
       finding.condition = Condition::doubts;
-      finding.since = router.last->stand.doubts.front().since - router.last->offset;
+      finding.since = router.last->stand.suspicions.front().since - router.last->offset;
     }
   }
   for (auto& [name, finding] : found)
@@ -121,8 +121,8 @@
         out_of_site[finding.site] == of_site[finding.site])
       finding.condition = Condition::site_out;
 
-  for (std::size_t s = 0; s < kSubjects; ++s) {
-    const auto subject = static_cast<Subject>(s);
+  for (std::size_t s = 0; s < kVersionedInputCount; ++s) {
+    const auto subject = static_cast<VersionedInput>(s);
     std::vector<Current> current;
     for (const auto& [name, finding] : found) {
       if (finding.condition == Condition::unreachable || finding.condition == Condition::site_out) continue;
@@ -201,7 +201,7 @@
     }
   }
   // All of a site that can be reached, and on the same thing: it is the site.
-  std::map<std::string, std::set<std::tuple<Subject, std::uint64_t>>> on;
+  std::map<std::string, std::set<std::tuple<VersionedInput, std::uint64_t>>> on;
   std::map<std::string, int> stragglers, reached;
   for (const auto& [name, f] : found) {
     if (f.condition == Condition::unreachable || f.condition == Condition::site_out) continue;
--- a/src/audit/stragglers.hpp
+++ b/src/audit/stragglers.hpp
@@ -53,7 +53,7 @@
 struct Finding {
   std::string router, site;
   Condition condition = Condition::fine;
-  Subject subject = Subject::list;
+  VersionedInput subject = VersionedInput::list;
   long long count = 0;  // of what it acts on
   std::uint64_t hash = 0;
   double since = 0;  // of the condition
@@ -77,7 +77,7 @@
   explicit Stragglers(const StragglerLimits& limits) : limits_(limits) {}
   // All routers at this moment, by name. Learns the lags of those that follow.
   std::vector<Finding> look(const Account& account, double now);
-  const Lags& lags(Subject subject) const { return lags_[static_cast<std::size_t>(subject)]; }
+  const Lags& lags(VersionedInput subject) const { return lags_[static_cast<std::size_t>(subject)]; }
 
  private:
   using Key = std::pair<long long, std::uint64_t>;
@@ -91,14 +91,14 @@
     Acting acting;
     std::vector<Acting> lately;
   };
-  void order(const std::vector<Current>& routers, Subject subject);
+  void order(const std::vector<Current>& routers, VersionedInput subject);
   bool newer(const Key& one, const Key& than) const;
 
   StragglerLimits limits_;
-  std::array<Lags, kSubjects> lags_;
+  std::array<Lags, kVersionedInputCount> lags_;
   std::map<Key, Place> places_;  // of the subject that is looked at
   // By router: on what it is behind, and since when.
-  std::map<std::pair<std::string, Subject>, std::pair<Key, double>> behind_;
+  std::map<std::pair<std::string, VersionedInput>, std::pair<Key, double>> behind_;
   int seen_ = 0;  // routers that were heard of lately
 };
 
--- a/src/fleet/audit.cpp
+++ b/src/fleet/audit.cpp
@@ -35,7 +35,7 @@
 
 // Whole or not at all: a router never sees half of an order.
 void leave(const std::string& folder, Order order) {
-  order.until += program_clock_behind();
+  order.expires_at += program_clock_behind();
   const auto path = folder + "/" + order.router + ".info";
   const auto fresh = path + ".new";
   const auto text = to_info(order);
@@ -62,7 +62,7 @@
                      account_.take(seen);
                      if (keeping_) keep([&] { store_.put(seen); });
                    },
-                   [this](const std::string& router, double began, const ToldInterval& told) {
+                   [this](const std::string& router, double began, const ReportedInterval& told) {
                      account_.take(router, began, told);
                      if (keeping_) keep([&] { store_.put(router, began, told); });
                    },
@@ -162,14 +162,14 @@
     if (!keeping_ || stopped_) return;
     long long highest = 0;
     for (const auto& [name, router] : account_.routers())
-      if (router.last) highest = std::max(highest, router.last->stand.term);
+      if (router.last) highest = std::max(highest, router.last->stand.order_term);
     if (!overseer_) {
       if (!keep([&] {
             const auto term = store_.new_term(highest);
             overseer_ = std::make_unique<audit::Overseer>(roll_.overseer, term);
             for (const auto& given : store_.orders())
-              if (given.order.until > now)
-                overseer_->outstanding(given.order.router, given.order.step, given.order.until);
+              if (given.order.expires_at > now)
+                overseer_->outstanding(given.order.router, given.order.step, given.order.expires_at);
           }))
         return;
       log_.line("term", "number={} above={}", overseer_->term(), highest);
@@ -193,9 +193,9 @@
       if (router.last) {
         const auto& stand = router.last->stand;
         m.serving = stand.serving;
-        m.taking = stand.taking;
+        m.taking = stand.participation;
         m.sees_site_lost = stand.site_lost;
-        for (const auto& d : stand.doubts) m.doubts += (m.doubts.empty() ? "" : ", ") + d.kind;
+        for (const auto& d : stand.suspicions) m.doubts += (m.doubts.empty() ? "" : ", ") + d.kind;
       }
       for (const auto& entry : roll_.routers)
         if (entry.name == f.router) m.agent = entry.agent;
@@ -218,7 +218,7 @@
     for (const auto& order : orders) try {
         leave(roll_.orders, order);
         log_.line("ordered", "router={} step={} term={} number={} until={:.0f} why=\"{}\"", order.router,
-                  name(order.step), order.term, order.number, order.until, order.why);
+                  name(order.step), order.term, order.number, order.expires_at, order.reason);
       } catch (const std::exception& error) {
         log_.line("order_failed", "router={} why=\"{}\"", order.router, error.what());
       }
--- a/src/fleet/follow.cpp
+++ b/src/fleet/follow.cpp
@@ -131,25 +131,28 @@
     while (!body.empty()) {
       const auto end = body.find('\n');
       if (end == std::string_view::npos) break;  // cut off
-      const auto told = versions_from_json(body.substr(0, end));
+      const auto told = parse_versions_line(body.substr(0, end));
       body.remove_prefix(end + 1);
-      if (const auto* stand = std::get_if<Stand>(&told)) {
+      if (const auto* stand = std::get_if<VersionReport>(&told)) {
         if (stand->router != entry.name) return false;  // another one has its place
-        began = stand->began;
+        began = stand->process_started_at;
         if (from.began != began) {
           const auto again = from.since > 0;
           from = {began, 0};
           // What was asked for was counted by the one before: this one's own beginning comes next time.
           if (again) {
-            to.hands_.seen({*stand, answered, stand->unix - (asked + answered) / 2, (answered - asked) / 2});
+            to.hands_.seen(
+                {*stand, answered, stand->unix_time - (asked + answered) / 2, (answered - asked) / 2});
             return true;
           }
         }
-        to.hands_.seen({*stand, answered, stand->unix - (asked + answered) / 2, (answered - asked) / 2});
-      } else if (const auto* interval = std::get_if<ToldInterval>(&told); interval != nullptr && began > 0) {
+        to.hands_.seen({*stand, answered, stand->unix_time - (asked + answered) / 2, (answered - asked) / 2});
+      } else if (const auto* interval = std::get_if<ReportedInterval>(&told);
+                 interval != nullptr && began > 0) {
         to.hands_.interval(entry.name, began, *interval);
         // The one that goes on is asked for again.
-        from.since = std::max(from.since, interval->interval.number + (interval->interval.to > 0 ? 1 : 0));
+        from.since =
+            std::max(from.since, interval->interval.number + (interval->interval.ended_at > 0 ? 1 : 0));
       }
     }
     return began > 0;
@@ -165,7 +168,7 @@
 
 // --- logs
 
-std::vector<ToldInterval> LogReader::take(std::string_view line) {
+std::vector<ReportedInterval> LogReader::take(std::string_view line) {
   const auto space = line.find(' ');
   if (space == std::string_view::npos) return {};
   double at = 0;
@@ -180,17 +183,18 @@
   }
   if (event == "taking") {
     const auto words = words_of(rest);
-    for (std::size_t i = 0; i < static_cast<std::size_t>(Taking::last); ++i)
-      if (name(static_cast<Taking>(i)) == text(words, "state")) stand.taking = static_cast<Taking>(i);
-    stand.taking_since = at;
-    stand.term = number<long long>(words, "term");
-    stand.number = number<long long>(words, "number");
+    for (std::size_t i = 0; i < static_cast<std::size_t>(Participation::last); ++i)
+      if (name(static_cast<Participation>(i)) == text(words, "state"))
+        stand.participation = static_cast<Participation>(i);
+    stand.participation_since = at;
+    stand.order_term = number<long long>(words, "term");
+    stand.order_number = number<long long>(words, "number");
     return {};
   }
   if (event == "version") {
     const auto words = words_of(rest);
     const auto began = number<double>(words, "began");
-    if (!begun || began != stand.began) {
+    if (!begun || began != stand.process_started_at) {
       const auto serving = stand.serving;
       stand = {};
       stand.serving = begun ? false : serving;
@@ -198,35 +202,37 @@
     }
     stand.router = text(words, "router");
     stand.site = text(words, "site");
-    stand.began = began;
-    stand.unix = at;
-    for (std::size_t i = 0; i < kSubjects; ++i)
-      if (name(static_cast<Subject>(i)) == text(words, "subject"))
-        stand.by[i] = {number<long long>(words, "count"),
-                       number<int>(words, "epoch"),
-                       number<std::uint64_t>(words, "hash", 16),
-                       text(words, "source"),
-                       at,
-                       at};
+    stand.process_started_at = began;
+    stand.unix_time = at;
+    for (std::size_t i = 0; i < kVersionedInputCount; ++i)
+      if (name(static_cast<VersionedInput>(i)) == text(words, "subject"))
+        stand.versions[i] = {number<long long>(words, "count"),
+                             number<int>(words, "epoch"),
+                             number<std::uint64_t>(words, "hash", 16),
+                             text(words, "source"),
+                             at,
+                             at};
     return {};
   }
   if (event != "acted") return {};
   const auto words = words_of(rest);
-  ToldInterval told;
+  ReportedInterval told;
   auto& i = told.interval;
   i.number = number<std::uint64_t>(words, "interval");
-  i.from = number<double>(words, "from");
-  i.to = i.from + number<double>(words, "lasted");
+  i.started_at = number<double>(words, "from");
+  i.ended_at = i.started_at + number<double>(words, "lasted");
   const auto list = text(words, "list");
   const auto dot = std::min(list.find('.'), list.size());
-  std::from_chars(list.data(), list.data() + dot, i.by[0].epoch);
-  if (dot < list.size()) std::from_chars(list.data() + dot + 1, list.data() + list.size(), i.by[0].count);
-  i.by[0].hash = number<std::uint64_t>(words, "list_hash", 16);
-  for (std::size_t k = 1; k < kSubjects; ++k)
-    i.by[k] = {0, 1, number<std::uint64_t>(words, name(static_cast<Subject>(k)), 16)};
-  auto& acts = i.acts.emplace_back();
+  std::from_chars(list.data(), list.data() + dot, i.versions[0].epoch);
+  if (dot < list.size())
+    std::from_chars(list.data() + dot + 1, list.data() + list.size(), i.versions[0].count);
+  i.versions[0].hash = number<std::uint64_t>(words, "list_hash", 16);
+  for (std::size_t k = 1; k < kVersionedInputCount; ++k)
+    i.versions[k] = {0, 1, number<std::uint64_t>(words, name(static_cast<VersionedInput>(k)), 16)};
+  auto& acts = i.actions.emplace_back();
   told.verticals.emplace_back("all");
-  for (std::size_t k = 0; k < kActs; ++k) acts[k] = number<std::uint32_t>(words, name(static_cast<Act>(k)));
+  for (std::size_t k = 0; k < kRouterActionCount; ++k)
+    acts[k] = number<std::uint32_t>(words, name(static_cast<RouterAction>(k)));
   return {told};
 }
 
@@ -257,7 +263,7 @@
     std::size_t begin = 0;
     for (auto end = partial.find('\n'); end != std::string::npos; end = partial.find('\n', begin)) {
       for (const auto& told : reader.take(std::string_view(partial).substr(begin, end - begin)))
-        owner.hands_.interval(entry.name, reader.stand.began, told);
+        owner.hands_.interval(entry.name, reader.stand.process_started_at, told);
       begin = end + 1;
     }
     partial.erase(0, begin);
--- a/src/fleet/follow.hpp
+++ b/src/fleet/follow.hpp
@@ -18,7 +18,7 @@
  public:
   struct Hands {
     std::function<void(const audit::Seen&)> seen;
-    std::function<void(const std::string& router, double began, const ToldInterval&)> interval;
+    std::function<void(const std::string& router, double began, const ReportedInterval&)> interval;
     std::function<void(const std::string& router, double at)> missed;
   };
   Follower(boost::asio::io_context& context, const Roll& roll, Hands hands);
@@ -47,9 +47,9 @@
 
 // What log lines of a router tell; the state between two lines is kept by the caller.
 struct LogReader {
-  Stand stand;
+  VersionReport stand;
   bool begun = false;
-  std::vector<ToldInterval> take(std::string_view line);  // intervals that closed with it
+  std::vector<ReportedInterval> take(std::string_view line);  // intervals that closed with it
 };
 
 // Unix time as it was when this program began, and the monotonic time since then: a wall clock that is
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -183,24 +183,27 @@
 }
 
 void Store::put(const audit::Seen& s) {
-  put_stand_->bind(s.stand.router, s.stand.began, s.at, s.offset, s.bound, to_json(s.stand)).step();
+  put_stand_->bind(s.stand.router, s.stand.process_started_at, s.at, s.offset, s.bound, to_json(s.stand))
+      .step();
 }
 
-void Store::put(const std::string& router, double began, const ToldInterval& told) {
+void Store::put(const std::string& router, double began, const ReportedInterval& told) {
   const auto& i = told.interval;
-  const auto c = [&](std::size_t k) { return i.by[k].count; };
-  const auto e = [&](std::size_t k) { return static_cast<long long>(i.by[k].epoch); };
-  const auto h = [&](std::size_t k) { return as_signed(i.by[k].hash); };
+  const auto c = [&](std::size_t k) { return i.versions[k].count; };
+  const auto e = [&](std::size_t k) { return static_cast<long long>(i.versions[k].epoch); };
+  const auto h = [&](std::size_t k) { return as_signed(i.versions[k].hash); };
   put_interval_
-      ->bind(router, began, as_signed(i.number), static_cast<long long>(i.changed), i.from, i.to, c(0), e(0),
-             h(0), c(1), e(1), h(1), c(2), e(2), h(2), c(3), e(3), h(3), to_json(i, 0, told.verticals))
+      ->bind(router, began, as_signed(i.number), static_cast<long long>(i.changed_input), i.started_at,
+             i.ended_at, c(0), e(0), h(0), c(1), e(1), h(1), c(2), e(2), h(2), c(3), e(3), h(3),
+             to_json(i, 0, told.verticals))
       .step();
 }
 
 void Store::put(const GivenOrder& given) {
   const auto& o = given.order;
   put_order_
-      ->bind(o.term, o.number, given.at, o.router, static_cast<long long>(o.step), o.until, o.why, o.agent)
+      ->bind(o.term, o.number, given.at, o.router, static_cast<long long>(o.step), o.expires_at, o.reason,
+             o.discovery_agent)
       .step();
 }
 
@@ -237,27 +240,28 @@
   audit::Account account;
   Statement stands(db_, "select told, at, offset, bound from stands order by at");
   while (stands.step()) {
-    const auto told = versions_from_json(stands.text(0));
-    if (const auto* stand = std::get_if<Stand>(&told))
+    const auto told = parse_versions_line(stands.text(0));
+    if (const auto* stand = std::get_if<VersionReport>(&told))
       account.take({*stand, stands.real(1), stands.real(2), stands.real(3)});
   }
   const std::string columns =
       "select router, began, number, changed, since, until, c0, e0, h0, c1, e1, h1, c2, e2, h2, c3, e3, h3";
   Statement rows(db_, (columns + (acts ? ", told from intervals" : " from intervals")).c_str());
   while (rows.step()) {
-    ToldInterval told;
+    ReportedInterval told;
     if (acts) {
-      const auto read = versions_from_json(rows.text(18));
-      if (const auto* interval = std::get_if<ToldInterval>(&read)) told = *interval;
+      const auto read = parse_versions_line(rows.text(18));
+      if (const auto* interval = std::get_if<ReportedInterval>(&read)) told = *interval;
     } else {
       auto& i = told.interval;
       i.number = static_cast<std::uint64_t>(rows.whole(2));
-      i.changed = static_cast<Subject>(rows.whole(3));
-      i.from = rows.real(4);
-      i.to = rows.real(5);
-      for (int k = 0; k < static_cast<int>(kSubjects); ++k)
-        i.by[static_cast<std::size_t>(k)] = {rows.whole(6 + 3 * k), static_cast<int>(rows.whole(7 + 3 * k)),
-                                             static_cast<std::uint64_t>(rows.whole(8 + 3 * k))};
+      i.changed_input = static_cast<VersionedInput>(rows.whole(3));
+      i.started_at = rows.real(4);
+      i.ended_at = rows.real(5);
+      for (int k = 0; k < static_cast<int>(kVersionedInputCount); ++k)
+        i.versions[static_cast<std::size_t>(k)] = {rows.whole(6 + 3 * k),
+                                                   static_cast<int>(rows.whole(7 + 3 * k)),
+                                                   static_cast<std::uint64_t>(rows.whole(8 + 3 * k))};
     }
     account.take(rows.text(0), rows.real(1), told);
   }
@@ -270,7 +274,7 @@
       db_, "select term, number, at, router, step, until, why, agent from orders order by term, number");
   while (rows.step()) {
     GivenOrder given;
-    given.order = {rows.whole(0), rows.whole(1), rows.text(3), static_cast<Step>(rows.whole(4)),
+    given.order = {rows.whole(0), rows.whole(1), rows.text(3), static_cast<OrderStep>(rows.whole(4)),
                    rows.text(6),  rows.real(5),  rows.text(7)};
     given.at = rows.real(2);
     found.push_back(std::move(given));
--- a/src/fleet/store.hpp
+++ b/src/fleet/store.hpp
@@ -46,7 +46,7 @@
   void commit();
   void rollback();  // what was put since begin() is forgotten
   void put(const audit::Seen& seen);
-  void put(const std::string& router, double began, const ToldInterval& told);
+  void put(const std::string& router, double began, const ReportedInterval& told);
   void put(const GivenOrder& given);
   void put(const Note& note);
   void prune(double before, long long rows);  // intervals that ended earlier, and the oldest beyond so many
--- a/src/fleet/tell.cpp
+++ b/src/fleet/tell.cpp
@@ -75,12 +75,12 @@
                "taking", "list", "content", "since");
   for (const auto& f : findings) {
     const auto& router = account.routers().at(f.router);
-    const auto acting = account.now_acting(f.router, Subject::list);
+    const auto acting = account.now_acting(f.router, VersionedInput::list);
     std::string doubts;
-    Taking taking = Taking::in;
+    Participation taking = Participation::in;
     if (router.last) {
-      taking = router.last->stand.taking;
-      for (const auto& d : router.last->stand.doubts) doubts += (doubts.empty() ? "" : ", ") + d.kind;
+      taking = router.last->stand.participation;
+      for (const auto& d : router.last->stand.suspicions) doubts += (doubts.empty() ? "" : ", ") + d.kind;
     }
     if (as_json)
       fmt::print(
@@ -102,7 +102,7 @@
 void tell_version(const Store& store, const std::string& version, bool as_json) {
   const auto account = store.load(false);
   auto found = 0;
-  for (const auto& s : account.spreads(Subject::list)) {
+  for (const auto& s : account.spreads(VersionedInput::list)) {
     if (fmt::format("{}", s.count) != version && hex(s.hash) != version) continue;
     ++found;
     if (as_json) {
@@ -142,15 +142,16 @@
     lines.push_back(
         {began - life.offset, fmt::format("a process begins; clocks within {:.4f} s", life.bound)});
     for (const auto& [number, i] : life.intervals) {
-      const auto& by = i.by[static_cast<std::size_t>(i.changed)];
-      const auto sums = i.sums();
+      const auto& by = i.versions[static_cast<std::size_t>(i.changed_input)];
+      const auto sums = i.total_actions();
       std::string acts;
-      for (std::size_t k = 0; k < kActs; ++k)
-        if (sums[k] > 0) acts += fmt::format(" {} {}", name(static_cast<Act>(k)), sums[k]);
+      for (std::size_t k = 0; k < kRouterActionCount; ++k)
+        if (sums[k] > 0) acts += fmt::format(" {} {}", name(static_cast<RouterAction>(k)), sums[k]);
       lines.push_back(
-          {i.from - life.offset,
-           fmt::format("interval {}: acts on {} {}.{} {} for {}:{}", number, name(i.changed), by.epoch,
-                       by.count, hex(by.hash), i.to > 0 ? fmt::format("{:.3f} s", i.to - i.from) : "so far",
+          {i.started_at - life.offset,
+           fmt::format("interval {}: acts on {} {}.{} {} for {}:{}", number, name(i.changed_input), by.epoch,
+                       by.count, hex(by.hash),
+                       i.ended_at > 0 ? fmt::format("{:.3f} s", i.ended_at - i.started_at) : "so far",
                        acts.empty() ? " nothing done" : acts)});
     }
   }
@@ -160,7 +161,7 @@
     if (given.order.router == name_of)
       lines.push_back(
           {given.at, fmt::format("ORDER {}.{} {} until {}: {}", given.order.term, given.order.number,
-                                 name(given.order.step), when(given.order.until), given.order.why)});
+                                 name(given.order.step), when(given.order.expires_at), given.order.reason)});
   std::stable_sort(lines.begin(), lines.end(), [](const Line& a, const Line& b) { return a.at < b.at; });
   for (const auto& line : lines)
     if (as_json)
@@ -177,7 +178,7 @@
   const auto senders = account.senders(node);
   if (senders.empty() && !as_json) fmt::print("nobody sent to {}, as far as is kept\n", node);
   // What a router went on sending by an older list once most of the others had another one.
-  const auto spreads = account.spreads(Subject::list);
+  const auto spreads = account.spreads(VersionedInput::list);
   const auto overtaken = [&](const audit::NodeSender& s) {
     double at = 0;
     for (const auto& spread : spreads) {
@@ -228,7 +229,7 @@
   for (const auto& given : store.orders())
     lines.push_back({given.at, given.order.router, fmt::format("ordered {}", name(given.order.step)),
                      fmt::format("{}.{} until {}: {}", given.order.term, given.order.number,
-                                 when(given.order.until), given.order.why)});
+                                 when(given.order.expires_at), given.order.reason)});
   std::stable_sort(lines.begin(), lines.end(), [](const Line& a, const Line& b) { return a.at < b.at; });
   for (const auto& l : lines)
     if (as_json)
@@ -295,7 +296,7 @@
   if (path.find_first_of("'\n\\") != std::string::npos)
     throw std::runtime_error("a path with quotes can't be drawn to");
   const auto account = store.load(false);
-  auto spreads = account.spreads(Subject::list);
+  auto spreads = account.spreads(VersionedInput::list);
   if (spreads.empty()) throw std::runtime_error("no list is kept");
   constexpr std::size_t kCurves = 8;
   constexpr const char* kColours[] = {"#4e79a7", "#f28e2b", "#59a14f", "#e15759",
@@ -326,7 +327,7 @@
   std::string boxes, tics;
   std::size_t row = 0;
   for (const auto& [name, router] : account.routers()) {
-    for (const auto& a : account.acting(name, Subject::list))
+    for (const auto& a : account.acting(name, VersionedInput::list))
       boxes += fmt::format(
           "set object rectangle from {:.3f},{:.2f} to {:.3f},{:.2f} fc rgb '{}' fs solid noborder\n",
           a.from - start, static_cast<double>(row) - 0.4, (a.to > 0 ? a.to : end) - start,
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -96,8 +96,10 @@
       std::chrono::duration<double>(std::max(at - now(), 0.0)));
 }
 
-Act act_of(Reason reason) {
-  return reason == Reason::first_call ? Act::first : reason == Reason::copy ? Act::copy : Act::resent;
+RouterAction act_of(Reason reason) {
+  return reason == Reason::first_call ? RouterAction::first
+         : reason == Reason::copy     ? RouterAction::copy
+                                      : RouterAction::resent;
 }
 
 const char* name(Router::Phase phase) {
@@ -145,14 +147,14 @@
   signals_.add(SIGHUP);
   await_signal();
   log_.shape(log_form(config_.operators));
-  standing_.changed = [this](Subject subject) {
+  standing_.changed = [this](VersionedInput subject) {
     if (recorder_)
-      recorder_->version(subject, standing_.versions().version(subject), standing_.versions().number(),
-                         now());
+      recorder_->version(subject, standing_.versions().version(subject),
+                         standing_.versions().open_interval_number(), now());
   };
   watch_over(config_.operators);
-  standing_.file(Subject::configuration, config_.hash, config_.path, now());
-  standing_.file(Subject::operators, config_.operators.hash, config_.operators_path, now());
+  standing_.file(VersionedInput::configuration, config_.hash, config_.path, now());
+  standing_.file(VersionedInput::operators, config_.operators.hash, config_.operators_path, now());
   clients_.open(config_.listen);
   log_.line("phase", "name={} router={} listen={}:{}", name(phase_), config_.name,
             config_.listen.address().to_string(), config_.listen.port());
@@ -168,7 +170,7 @@
 }
 
 void Router::build(std::string_view revision, std::uint64_t decisions) {
-  standing_.file(Subject::build, decisions, revision, now());
+  standing_.file(VersionedInput::build, decisions, revision, now());
 }
 
 void Router::await_signal() {
@@ -196,13 +198,13 @@
     log_.line("reloaded", "discovery={}:{} changed={} kept={}", fresh.discovery.address().to_string(),
               fresh.discovery.port(), fresh.discovery != config_.discovery, kept.empty() ? "-" : kept);
     // What is kept is not acted on: the version stays, and that it does is told.
-    standing_.versions().kept(!kept.empty() || !operators_taken, now());
-    if (kept.empty()) standing_.file(Subject::configuration, fresh.hash, config_.path, now());
+    standing_.versions().on_file_reloaded(!kept.empty() || !operators_taken, now());
+    if (kept.empty()) standing_.file(VersionedInput::configuration, fresh.hash, config_.path, now());
     if (fresh.discovery == config_.discovery) return;
     config_.discovery = discovery_now_ = fresh.discovery;
     watch_.follow(fresh.discovery);
   } catch (const std::exception& error) {
-    standing_.versions().kept(true, now());
+    standing_.versions().on_file_reloaded(true, now());
     log_.line("reload_failed", "why=\"{}\"", error.what());
   }
 }
@@ -317,7 +319,7 @@
   try {
     const auto fresh = load_operators(config_.operators_path, config_.memory);
     watch_over(fresh);
-    standing_.file(Subject::operators, fresh.hash, config_.operators_path, now());
+    standing_.file(VersionedInput::operators, fresh.hash, config_.operators_path, now());
     log_.shape(log_form(fresh));
     log_.line("operators_reloaded", "path=\"{}\"", config_.operators_path);
     return true;
@@ -402,16 +404,17 @@
   standing_.tick(phase_ == Phase::draining, lost, hidden_, at);
   if (!recorder_ || at < versions_at_) return;
   versions_at_ = at + kVersionsAgain;
-  for (std::size_t i = 0; i < kSubjects; ++i)
-    if (const auto subject = static_cast<Subject>(i); standing_.versions().version(subject).epoch > 0)
-      recorder_->version(subject, standing_.versions().version(subject), standing_.versions().number(), at);
+  for (std::size_t i = 0; i < kVersionedInputCount; ++i)
+    if (const auto subject = static_cast<VersionedInput>(i); standing_.versions().version(subject).epoch > 0)
+      recorder_->version(subject, standing_.versions().version(subject),
+                         standing_.versions().open_interval_number(), at);
 }
 
 void Router::on_call_ended(int vertical, const Call& call) {
   auto& versions = standing_.versions();
   if (call.outcome == Outcome::unsent || call.outcome == Outcome::unreachable)
-    versions.unsent(vertical, call.node);
-  versions.ended(call.node, call.outcome, now());
+    versions.record_unsent(vertical, call.node);
+  versions.on_call_ended(call.node, call.outcome, now());
 }
 
 void Router::connected(int node, double took) {
@@ -629,7 +632,7 @@
   auto& held = held_.at(query);
   ++held.calls;
   ++calls_out_;
-  standing_.versions().sent(held.vertical, act_of(send.explanation.reason), send.node, now());
+  standing_.versions().record_sent(held.vertical, act_of(send.explanation.reason), send.node, now());
   const auto leaf = static_cast<std::size_t>(send.leaf);
   const auto& part = held.parts[leaf];
   std::string options;
@@ -652,7 +655,7 @@
     return;
   }
   ++figures_.merged;
-  standing_.versions().answered(held.vertical, whole ? Act::whole : Act::part);
+  standing_.versions().record_query_end(held.vertical, whole ? RouterAction::whole : RouterAction::part);
   std::vector<Result> results;
   for (std::size_t i = static_cast<std::size_t>(held.second_from < kFirstOnly ? held.second_from : 0);
        i < held.parts.size(); ++i)
@@ -662,14 +665,14 @@
 
 void Router::reject(long long query, double stay_away, const Explanation& why) {
   ++figures_.rejected;
-  standing_.versions().answered(held_.at(query).vertical, Act::rejected);
+  standing_.versions().record_query_end(held_.at(query).vertical, RouterAction::rejected);
   tell_of("rejected", query, why);
   answer(query, 503, "rejected", stay_away);
 }
 
 void Router::abort(long long query, const Explanation& why) {
   ++figures_.aborted;
-  standing_.versions().answered(held_.at(query).vertical, Act::aborted);
+  standing_.versions().record_query_end(held_.at(query).vertical, RouterAction::aborted);
   tell_of("aborted", query, why);
   answer(query, 500, "aborted");
 }
@@ -807,13 +810,13 @@
 }
 
 void Router::watch_lost() {
-  standing_.versions().watch_lost(now());
+  standing_.versions().on_watch_lost(now());
   queries_.on_node_list_failed(now());
 }
 
 void Router::watch_heard() {
   node_ages_.heard(now());
-  standing_.versions().heard(now());
+  standing_.versions().on_watch_data(now());
 }
 
 // What merely comes again says nothing. A count that has begun anew says that all that is held may be of
@@ -822,7 +825,7 @@
 void Router::passed_over(const MemberList& list) {
   if (list.members.empty() || list.version >= members_.list().version) return;
   const auto at = now();
-  standing_.versions().passed_over(list.version, at);
+  standing_.versions().on_stale_list(list.version, at);
   if (at < ask_again_at_) return;
   ask_again_at_ = at + kAskAgain;
   log_.line("list_again", "count={} held={}", list.version, members_.list().version);
@@ -830,7 +833,7 @@
 }
 
 void Router::unusable() {
-  standing_.versions().unusable(now());
+  standing_.versions().on_unusable_list(now());
 }
 
 }  // namespace yoketurn
--- a/src/router/standing.hpp
+++ b/src/router/standing.hpp
@@ -39,45 +39,46 @@
   Standing(Town town, std::uint64_t seed, double now, double unix_at_zero, Log& log, Hands hands);
 
   void shape(const Operators::Fleet& fleet, bool readers);
-  void file(Subject subject, std::uint64_t hash, std::string_view source, double now);
+  void file(VersionedInput subject, std::uint64_t hash, std::string_view source, double now);
   void listed(const MemberList& whole, bool full, const std::string& source, double now);
-  void member(int node, const Member& member) { versions_.listed(node, member.id, member.up); }
+  void member(int node, const Member& member) { versions_.set_node(node, member.id, member.up); }
   // sites_lost: by node, whether its site is held for lost.
   void tick(bool draining, bool site_lost, const std::vector<bool>& hidden, double now);
 
-  Versions& versions() { return versions_; }
-  bool healthy() const { return service_.healthy(); }
-  bool bars(double now) { return service_.bars(now); }
+  VersionTracker& versions() { return versions_; }
+  bool healthy() const { return participation_.healthy(); }
+  bool bars(double now) { return participation_.rejects_new_query(now); }
   void serving(bool serving) { serving_ = serving; }
 
   // For readers: the stand, then each interval from a number on.
   VersionsView view() const;
   // Is told of each change of version, for the time line.
-  std::function<void(Subject)> changed;
+  std::function<void(VersionedInput)> changed;
 
  private:
   void look_for_orders(double now);
   void take(const Order& order, double now);
-  void perform(Step step);
+  void perform(OrderStep step);
   void tell_interval(const Interval& interval);
   void tell_doubts(double now);
-  void note(bool change, Subject subject);
-  Stand stand(double now) const;
+  void note(bool change, VersionedInput subject);
+  VersionReport stand(double now) const;
 
   Town town_;
   double unix_at_zero_;
   Log& log_;
   Hands hands_;
-  Versions versions_;
-  Service service_;
-  Service::State state_;
+  VersionTracker versions_;
+  ParticipationController participation_;
+  ParticipationController::RouterState state_;
   bool serving_ = false;
   std::string folder_;
   double look_at_ = 0;
   std::string seen_;  // of the order's file, as it was last read: its place, time and size
   std::string verdict_;
-  Taking told_ = Taking::in;
-  std::array<double, kDoubts> doubt_told_{};  // since when, of those that are logged; 0: it is over
+  Participation told_ = Participation::in;
+  std::array<double, kStalenessKindCount>
+      doubt_told_{};  // since when, of those that are logged; 0: it is over
 };
 
 }  // namespace yoketurn
--- a/src/timeline/recorder.cpp
+++ b/src/timeline/recorder.cpp
@@ -216,7 +216,7 @@
   timeline_.record(e);
 }
 
-void Recorder::version(Subject subject, const Version& version, std::uint64_t interval, double now) {
+void Recorder::version(VersionedInput subject, const Version& version, std::uint64_t interval, double now) {
   auto e = event(What::version, kLoop, static_cast<std::uint8_t>(subject), now);
   e.set_wide(static_cast<double>(version.count));
   e.set_id(version.hash);
--- a/src/timeline/recorder.hpp
+++ b/src/timeline/recorder.hpp
@@ -38,7 +38,7 @@
   void taken(long long query, std::string_view id, int vertical, double now);
   void door(What what, std::uint8_t why, int connection, std::uint32_t address, double a, double b,
             double now);
-  void version(Subject subject, const Version& version, std::uint64_t interval, double now);
+  void version(VersionedInput subject, const Version& version, std::uint64_t interval, double now);
   void site(const std::string& name, const SiteHealthChange& news);
   void loop(What what, std::uint8_t why, double a, double b, double now);
 
--- a/src/timeline/server.cpp
+++ b/src/timeline/server.cpp
@@ -175,16 +175,16 @@
   // Where the router stands, then its intervals from the one asked for on, the open one last.
   void versions() {
     const auto view = owner_->versions_();
-    if (std::exchange(first_, false)) piece_ += view.stand(now()) + "\n";
+    if (std::exchange(first_, false)) piece_ += view.report(now()) + "\n";
     const auto say = [&](const Interval& i) {
-      piece_ += to_json(i, view.unix_at_zero, *view.verticals) + "\n";
+      piece_ += to_json(i, view.unix_time_at_zero, *view.verticals) + "\n";
       next_ = i.number + 1;
     };
-    for (const auto& interval : view.versions->closed()) {
+    for (const auto& interval : view.tracker->closed_intervals()) {
       if (piece_.size() >= kPiece) return;
       if (interval.number >= next_) say(interval);
     }
-    if (view.versions->number() >= next_) say(view.versions->open());
+    if (view.tracker->open_interval_number() >= next_) say(view.tracker->open_interval());
     part_ = Part::none;
   }
   void fill() {
--- a/src/versions/orders.cpp
+++ b/src/versions/orders.cpp
@@ -12,19 +12,19 @@
 namespace {
 
 using enum EntryType;
-constexpr double kMostCount = 1e15;  // that a double holds exactly
-constexpr Entry kOrder[] = {
-    {"order.term", count, 1, kMostCount, "", "1", "The auditor's term: a lower one than before is refused."},
-    {"order.number", count, 1, kMostCount, "", "1", "Counted up within the term."},
-    {"order.router", name, 0, 0, "", "off", "The router it is for."},
+constexpr double kMaxCount = 1e15;  // integers up to it are exact in a double
+constexpr Entry kOrderEntries[] = {
+    {"order.term", count, 1, kMaxCount, "", "1", "The auditor's term; an order of a lower term is refused."},
+    {"order.number", count, 1, kMaxCount, "", "1", "The order's number, increasing within the term."},
+    {"order.router", name, 0, 0, "", "off", "The router the order is for."},
     {"order.step", word, 0, 0, "ask_again follow read_again step_aside shut_out back", "ask_again",
-     "What is to be done."},
-    {"order.why", name, 0, 0, "", "off", "What it hangs on, in words."},
-    {"order.until", moment, 0, 0, "", "off", "When it lapses by itself."},
-    {"order.agent", endpoint, 0, 0, "", "off", "follow: where discovery is to be followed."},
+     "The step to carry out."},
+    {"order.why", name, 0, 0, "", "off", "The reason, in words."},
+    {"order.until", moment, 0, 0, "", "off", "When the order expires."},
+    {"order.agent", endpoint, 0, 0, "", "off", "follow: address of the discovery agent."},
 };
 
-std::string shown(double unix) {
+std::string format_utc(double unix) {
   const auto at = static_cast<std::time_t>(std::floor(unix));
   char text[32];
   std::tm when{};
@@ -32,7 +32,7 @@
   return text;
 }
 
-// In quotes, as INFO takes it.
+// Quotes the text as an INFO string; line breaks become spaces.
 std::string quoted(std::string_view text) {
   std::string result = "\"";
   for (const auto c : text) {
@@ -44,8 +44,8 @@
 
 }  // namespace
 
-Order read_order(std::string_view text) {
-  const auto given = read_entries(text, kOrder);
+Order parse_order(std::string_view text) {
+  const auto given = read_entries(text, kOrderEntries);
   std::vector<Problem> missing;
   for (const auto* path : {"order.term", "order.number", "order.router", "order.step", "order.until"})
     if (!given.contains(path)) missing.push_back({0, path, "is missing"});
@@ -54,22 +54,24 @@
   order.term = static_cast<long long>(given.at("order.term").number);
   order.number = static_cast<long long>(given.at("order.number").number);
   order.router = given.at("order.router").text;
-  for (int i = 0; i < static_cast<int>(Step::last); ++i)
-    if (yoketurn::name(static_cast<Step>(i)) == given.at("order.step").text)
-      order.step = static_cast<Step>(i);
-  order.until = given.at("order.until").number;
-  if (const auto at = given.find("order.why"); at != given.end()) order.why = at->second.text;
-  if (const auto at = given.find("order.agent"); at != given.end()) order.agent = at->second.text;
-  if (order.step == Step::follow && order.agent.empty())
-    throw BadOperators({{0, "order.agent", "is missing: where is discovery to be followed?"}});
+  for (int i = 0; i < static_cast<int>(OrderStep::last); ++i)
+    if (yoketurn::name(static_cast<OrderStep>(i)) == given.at("order.step").text)
+      order.step = static_cast<OrderStep>(i);
+  order.expires_at = given.at("order.until").number;
+  if (const auto at = given.find("order.why"); at != given.end()) order.reason = at->second.text;
+  if (const auto at = given.find("order.agent"); at != given.end()) order.discovery_agent = at->second.text;
+  if (order.step == OrderStep::follow && order.discovery_agent.empty())
+    throw BadOperators(
+        {{0, "order.agent", "is missing: the step follow needs the address of a discovery agent"}});
   return order;
 }
 
-std::string to_info(const Order& o) {
-  auto text = fmt::format("order\n{{\n  term {}\n  number {}\n  router {}\n  step {}\n  until {}\n", o.term,
-                          o.number, quoted(o.router), yoketurn::name(o.step), shown(o.until));
-  if (!o.why.empty()) text += fmt::format("  why {}\n", quoted(o.why));
-  if (!o.agent.empty()) text += fmt::format("  agent {}\n", o.agent);
+std::string to_info(const Order& order) {
+  auto text = fmt::format("order\n{{\n  term {}\n  number {}\n  router {}\n  step {}\n  until {}\n",
+                          order.term, order.number, quoted(order.router), yoketurn::name(order.step),
+                          format_utc(order.expires_at));
+  if (!order.reason.empty()) text += fmt::format("  why {}\n", quoted(order.reason));
+  if (!order.discovery_agent.empty()) text += fmt::format("  agent {}\n", order.discovery_agent);
   return text + "}\n";
 }
 
--- a/src/versions/orders.hpp
+++ b/src/versions/orders.hpp
@@ -1,5 +1,5 @@
-// An auditor's order to one router, as it stands in a file: INFO, read by the operators' reader, taken whole
-// or not at all.
+// The file of an auditor's order to one router: INFO, parsed by the parser of the operators' file. An order
+// is accepted as a whole or not at all.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace yoketurn {
 
-Order read_order(std::string_view text);  // throws BadOperators, with every problem there is
-std::string to_info(const Order& order);  // what read_order reads; `until` is told to the second, downwards
+Order parse_order(std::string_view text);  // throws BadOperators with every problem found
+std::string to_info(
+    const Order& order);  // the text that parse_order reads; expires_at is rounded down to seconds
 
 }  // namespace yoketurn
--- a/src/versions/record.hpp
+++ b/src/versions/record.hpp
@@ -1,5 +1,5 @@
-// Versions as they are told: JSON lines of GET /versions, and how the fleet's auditor reads them. Times in
-// the lines are Unix time.
+// Reports of a router's versions: the JSON lines of GET /versions, and how the fleet's auditor parses them.
+// Times in the lines are Unix time.
 #pragma once
 
 #include <functional>
@@ -13,46 +13,48 @@
 
 namespace yoketurn {
 
-// A router's own word of where it stands, at one moment.
-struct Stand {
+// A router's report of its own state at one moment.
+struct VersionReport {
   std::string router, site;
-  double unix = 0;   // the router's clock when it said so
-  double began = 0;  // of its process: two that live under one name differ in it
+  double unix_time = 0;           // of the report, by the router's clock
+  double process_started_at = 0;  // tells apart two processes under one name
   bool serving = false;
-  Taking taking = Taking::in;
-  double taking_since = 0;
-  std::string taking_why;
-  long long term = 0, number = 0;  // of the last order it took
-  std::string verdict;             // on the last order it read
-  std::array<Version, kSubjects> by{};
-  struct Doubt {
+  Participation participation = Participation::in;
+  double participation_since = 0;
+  std::string participation_reason;
+  long long order_term = 0, order_number = 0;  // of the last order taken
+  std::string order_verdict;                   // on the last order read
+  std::array<Version, kVersionedInputCount> versions{};
+  struct Suspicion {
     std::string kind;
     double since = 0, evidence = 0;
     std::string node;
   };
-  std::vector<Doubt> doubts;
+  std::vector<Suspicion> suspicions;
   bool site_lost = false;
-  std::uint64_t oldest = 0, open = 0;  // numbers of its intervals
-  double gap_until = 0;                // what ended by then is dropped; 0: nothing is
+  std::uint64_t oldest_interval = 0, open_interval = 0;  // numbers
+  double dropped_until = 0;  // intervals that ended by this time have been dropped; 0: none has
 };
 
-// What a reader is given to tell of.
+// What the endpoint reports from.
 struct VersionsView {
-  std::function<std::string(double now)> stand;  // as a line
-  const Versions* versions = nullptr;
+  std::function<std::string(double now)> report;  // the router's VersionReport as a line
+  const VersionTracker* tracker = nullptr;
   const std::vector<std::string>* verticals = nullptr;
-  double unix_at_zero = 0;
+  double unix_time_at_zero = 0;  // Unix time at 0 of the router's clock
 };
 
-std::string to_json(const Stand& stand);
-std::string to_json(const Interval& interval, double unix_at_zero, const std::vector<std::string>& verticals);
+std::string to_json(const VersionReport& report);
+std::string to_json(const Interval& interval, double unix_time_at_zero,
+                    const std::vector<std::string>& verticals);
 
-struct ToldInterval {
+struct ReportedInterval {
   Interval interval;                   // times are Unix time
-  std::vector<std::string> verticals;  // of its acts
+  std::vector<std::string> verticals;  // of its actions
 };
-using Told = std::variant<std::monostate, Stand, ToldInterval>;
-Told versions_from_json(std::string_view line);  // monostate: it is something else, or can't be read
+using VersionsLine = std::variant<std::monostate, VersionReport, ReportedInterval>;
+// monostate: the line is something else or can't be parsed.
+VersionsLine parse_versions_line(std::string_view line);
 
 std::string hex(std::uint64_t hash);
 
--- a/src/versions/service.hpp
+++ b/src/versions/service.hpp
@@ -1,7 +1,8 @@
-// Whether this router takes part in its fleet's service: what orders and its own doubt make it do, and what
-// it refuses to do. No I/O. Times are on the router's monotonic clock, but for what an order says, which is
-// wall time: it is turned into time left when the order is taken, so that a later step of the wall clock
-// neither ends an order nor prolongs it.
+// Whether this router takes part in serving its fleet's queries: applies the auditor's orders, reacts to the
+// router's own suspicion that its view is stale, and refuses orders that must not be obeyed. No I/O. Times
+// are in seconds on the router's monotonic clock, except for the expiry in an order, which is wall time. It
+// is turned into a remaining duration when the order is taken, so that a later step of the wall clock neither
+// ends nor prolongs an order.
 #pragma once
 
 #include <cstdint>
@@ -14,81 +15,102 @@
 
 namespace yoketurn {
 
-// From the mildest. The first three are done once, the next two hold until the order's end or `back`.
-enum class Step : std::uint8_t { ask_again, follow, read_again, step_aside, shut_out, back, last };
+// From the mildest. The first three are done once, step_aside and shut_out hold until the order expires or
+// `back` comes.
+enum class OrderStep : std::uint8_t {
+  ask_again,   // request the node list again
+  follow,      // follow discovery at another agent
+  read_again,  // read the configuration and the operators' file again
+  step_aside,  // report as unhealthy, but serve the queries that still arrive
+  shut_out,    // reject all new queries
+  back,        // end step_aside or shut_out
+  last         // the number of steps
+};
 
 struct Order {
-  long long term = 0, number = 0;  // of the auditor; of the order within its term
+  long long term = 0, number = 0;  // the auditor's term; the order's number within it
   std::string router;
-  Step step = Step::ask_again;
-  std::string why;
-  double until = 0;   // Unix time at which it lapses by itself
-  std::string agent;  // follow: where discovery is to be followed
+  OrderStep step = OrderStep::ask_again;
+  std::string reason;
+  double expires_at = 0;        // Unix time
+  std::string discovery_agent;  // follow: the address of the agent
 };
 
-enum class Verdict : std::uint8_t {
+enum class OrderVerdict : std::uint8_t {
   taken,
-  known,  // the same as the last one: nothing is done again
-  lower_term,
+  known,       // the same order as the last one; nothing is done again
+  lower_term,  // of an auditor that has been replaced
   old_number,
-  of_another,
+  of_another,  // for another router
   lapsed,
-  too_long,   // until later than an order may hold
-  site_lost,  // nobody goes while a site is lost
-  draining,   // it ends anyway
-  last
+  too_long,   // expires later than an order may hold
+  site_lost,  // no router leaves the service while a site is lost
+  draining,   // the router is shutting down anyway
+  last        // the number of verdicts
 };
 
-// aside: its health says no, and it serves what still comes. out: it takes no new query. returning: it has
-// been out and takes a growing share.
-enum class Taking : std::uint8_t { in, aside, out, returning, last };
+enum class Participation : std::uint8_t {
+  in,
+  aside,      // reports as unhealthy, but serves the queries that still arrive
+  out,        // rejects all new queries
+  returning,  // was out and accepts a growing share of new queries
+  last        // the number of states
+};
 
-std::string_view name(Step step);
-std::string_view name(Verdict verdict);
-std::string_view name(Taking taking);
+std::string_view name(OrderStep step);
+std::string_view name(OrderVerdict verdict);
+std::string_view name(Participation participation);
 
-class Service {
+class ParticipationController {
  public:
   struct Limits {
-    bool alone = false;    // acts on its own doubt without an order
-    double share = 0.1;    // of those that doubt for long that step aside by themselves
-    double longest = 900;  // that an order may hold
+    bool act_without_orders = false;  // whether the router reacts to its own suspicion without an order
+    double step_aside_share = 0.1;    // of the routers with a lasting suspicion that step aside by themselves
+    double max_order_seconds = 900;
     bool operator==(const Limits&) const = default;
   };
-  struct State {  // of the router, as far as it binds what it may do
+  // What restricts the orders that the router may obey.
+  struct RouterState {
     bool site_lost = false, draining = false;
-    double doubted_since = 0;  // 0: it has no doubt
+    double suspected_since = 0;  // since when it suspects its view to be stale; 0: it does not
   };
 
-  Service(const Limits& limits, std::string router, std::uint64_t seed);
-  void limit(const Limits& limits) { limits_ = limits; }
+  ParticipationController(const Limits& limits, std::string router, std::uint64_t seed);
+  void set_limits(const Limits& limits) { limits_ = limits; }
 
-  // Steps that are to be done now come out of tick() or here; those that hold change taking().
-  Verdict order(const Order& order, const State& state, WallTime wall_now, double now);
-  std::vector<Step> tick(const State& state, double now);
+  // If the order is taken, the caller carries out a step that is done once; a step that holds changes
+  // participation().
+  OrderVerdict apply_order(const Order& order, const RouterState& state, WallTime wall_now, double now);
+  // Returns the steps to carry out now without an order.
+  std::vector<OrderStep> tick(const RouterState& state, double now);
 
-  Taking taking() const { return taking_; }
-  bool healthy() const { return taking_ == Taking::in || taking_ == Taking::returning; }
-  bool bars(double now);  // whether this new query is not taken
-  double since() const { return since_; }
-  const std::string& why() const { return why_; }  // of the state it is in
-  const Order& last() const { return last_; }      // the last one taken
-  bool by_order() const { return until_ > 0; }
+  Participation participation() const { return participation_; }
+  bool healthy() const {
+    return participation_ == Participation::in || participation_ == Participation::returning;
+  }
+  // Whether to reject this new query; random while returning.
+  bool rejects_new_query(double now);
+  double state_since() const { return state_since_; }
+  const std::string& state_reason() const { return state_reason_; }
+  const Order& last_order() const { return last_order_; }  // the last one taken
+  bool holds_by_order() const { return order_expires_at_ > 0; }
 
  private:
-  void enter(Taking taking, std::string why, double now);
-  void leave(std::string why, double now);
+  void set_state(Participation participation, std::string reason, double now);
+  void end_absence(std::string reason, double now);
 
   Limits limits_;
   std::string router_;
-  std::ranlux24_base chance_;
-  Taking taking_ = Taking::in;
-  double since_ = 0;
-  double until_ = 0;  // when its order lapses; 0: by itself, or in
-  std::string why_;
-  Order last_;
-  double asked_at_ = 0, pause_ = 0;  // by itself
-  bool drawn_ = false;               // in this doubt
+  std::ranlux24_base random_;
+  Participation participation_ = Participation::in;
+  double state_since_ = 0;
+  double order_expires_at_ = 0;  // monotonic; 0: no order holds
+  std::string state_reason_;
+  Order last_order_;
+  // Of requests for the node list without an order. The start is shifted at random, so that routers don't
+  // send their requests at the same time.
+  double request_interval_start_ = 0, request_interval_ = 0;
+  bool step_aside_decided_ = false;  // whether it was drawn in this suspicion
 };
 
 }  // namespace yoketurn
--- a/src/versions/versions.cpp
+++ b/src/versions/versions.cpp
@@ -8,155 +8,159 @@
 
 namespace {
 
-constexpr std::string_view kSubjectNames[] = {"list", "configuration", "operators", "build"};
-constexpr std::string_view kActNames[] = {"first", "copy", "resent",   "unsent",
-                                          "whole", "part", "rejected", "aborted"};
-constexpr std::string_view kDoubtNames[] = {"silent",      "gap",     "unusable", "contradicts",
-                                            "turned_away", "refused", "kept"};
-static_assert(std::size(kSubjectNames) == kSubjects && std::size(kActNames) == kActs &&
-              std::size(kDoubtNames) == kDoubts);
-
-constexpr int kRow = 5;            // calls in a row that a node turns away or that are refused ...
-constexpr double kRowLasts = 1.5;  // ... for so long, until it is held against the list
+constexpr std::string_view kInputNames[] = {"list", "configuration", "operators", "build"};
+constexpr std::string_view kActionNames[] = {"first", "copy", "resent",   "unsent",
+                                             "whole", "part", "rejected", "aborted"};
+constexpr std::string_view kStalenessNames[] = {"silent",      "gap",     "unusable", "contradicts",
+                                                "turned_away", "refused", "kept"};
+static_assert(std::size(kInputNames) == kVersionedInputCount &&
+              std::size(kActionNames) == kRouterActionCount &&
+              std::size(kStalenessNames) == kStalenessKindCount);
+
+// So many calls in a row that a node rejects or refuses, over at least this time, count against the list.
+constexpr int kMinRejectedCalls = 5;
+constexpr double kMinRejectionSeconds = 1.5;
 
 }  // namespace
 
-std::string_view name(Subject subject) {
-  return kSubjectNames[static_cast<std::size_t>(subject)];
+std::string_view name(VersionedInput input) {
+  return kInputNames[static_cast<std::size_t>(input)];
 }
-std::string_view name(Act act) {
-  return kActNames[static_cast<std::size_t>(act)];
+std::string_view name(RouterAction action) {
+  return kActionNames[static_cast<std::size_t>(action)];
 }
-std::string_view name(Doubt doubt) {
-  return kDoubtNames[static_cast<std::size_t>(doubt)];
+std::string_view name(StalenessKind kind) {
+  return kStalenessNames[static_cast<std::size_t>(kind)];
 }
 
-std::array<std::uint64_t, kActs> Interval::sums() const {
-  std::array<std::uint64_t, kActs> sums{};
-  for (const auto& of_vertical : acts)
-    for (std::size_t i = 0; i < kActs; ++i) sums[i] += of_vertical[i];
-  return sums;
+std::array<std::uint64_t, kRouterActionCount> Interval::total_actions() const {
+  std::array<std::uint64_t, kRouterActionCount> totals{};
+  for (const auto& of_vertical : actions)
+    for (std::size_t i = 0; i < kRouterActionCount; ++i) totals[i] += of_vertical[i];
+  return totals;
 }
 
-Versions::Versions(const Limits& limits, int verticals, double now)
-    : limits_(limits), began_(now), heard_(now) {
-  open_.from = now;
-  open_.acts.resize(static_cast<std::size_t>(verticals));
+VersionTracker::VersionTracker(const Limits& limits, int verticals, double now)
+    : limits_(limits), started_at_(now), last_watch_data_at_(now) {
+  open_interval_.started_at = now;
+  open_interval_.actions.resize(static_cast<std::size_t>(verticals));
 }
 
-bool Versions::list(long long count, std::uint64_t hash, std::string_view source, bool full, double told,
-                    double now) {
-  heard(now);
-  const auto& before = version(Subject::list);
-  const auto elsewhere = before.epoch > 0 && before.source != source;
+bool VersionTracker::apply_list(long long count, std::uint64_t hash, std::string_view source, bool full,
+                                double received_at, double now) {
+  on_watch_data(now);
+  const auto& previous = version(VersionedInput::list);
+  const auto other_source = previous.epoch > 0 && previous.source != source;
   if (full) {
-    // The whole list anew is what ends a doubt about what was missed.
-    settle(Doubt::gap);
-    settle(Doubt::unusable);
-    settle(Doubt::contradicts);
+    // A whole list replaces any change that was missed.
+    clear_suspicion(StalenessKind::gap);
+    clear_suspicion(StalenessKind::unusable);
+    clear_suspicion(StalenessKind::contradicts);
   }
-  const auto same_count = before.epoch > 0 && !elsewhere && count == before.count;
-  if (same_count && hash == before.hash) return false;
-  if (same_count) doubt(Doubt::contradicts, now, static_cast<double>(count));
-  Version next{count, before.epoch, hash, std::string(source), told, now};
-  if (before.epoch == 0 || elsewhere || count < before.count) ++next.epoch;
-  begin(Subject::list, std::move(next), now);
+  const auto same_count = previous.epoch > 0 && !other_source && count == previous.count;
+  if (same_count && hash == previous.hash) return false;
+  if (same_count) suspect(StalenessKind::contradicts, now, static_cast<double>(count));
+  Version next{count, previous.epoch, hash, std::string(source), received_at, now};
+  if (previous.epoch == 0 || other_source || count < previous.count) ++next.epoch;
+  start_interval(VersionedInput::list, std::move(next), now);
   return true;
 }
 
-bool Versions::file(Subject subject, std::uint64_t hash, std::string_view source, double now) {
-  const auto& before = version(subject);
-  if (before.epoch > 0 && before.hash == hash && before.source == source) return false;
-  Version next{before.count + 1, before.epoch, hash, std::string(source), now, now};
-  if (before.epoch == 0 || before.source != source) {
+bool VersionTracker::apply_file(VersionedInput input, std::uint64_t hash, std::string_view source,
+                                double now) {
+  const auto& previous = version(input);
+  if (previous.epoch > 0 && previous.hash == hash && previous.source == source) return false;
+  Version next{previous.count + 1, previous.epoch, hash, std::string(source), now, now};
+  if (previous.epoch == 0 || previous.source != source) {
     ++next.epoch;
     next.count = 1;
   }
-  begin(subject, std::move(next), now);
+  start_interval(input, std::move(next), now);
   return true;
 }
 
-void Versions::begin(Subject subject, Version next, double now) {
-  auto closing = open();
-  closing.to = now;
-  held_[static_cast<std::size_t>(subject)] = std::move(next);
-  closed_.push_back(std::move(closing));
-  entries_ += closed_.back().nodes.size();
-  while (closed_.size() > limits_.intervals || entries_ > limits_.nodes) {
-    if (closed_.empty()) break;
-    gap_until_ = closed_.front().to;
-    entries_ -= closed_.front().nodes.size();
-    closed_.pop_front();
+void VersionTracker::start_interval(VersionedInput input, Version next, double now) {
+  auto closing = open_interval();
+  closing.ended_at = now;
+  versions_[static_cast<std::size_t>(input)] = std::move(next);
+  closed_intervals_.push_back(std::move(closing));
+  closed_node_entries_ += closed_intervals_.back().nodes.size();
+  while (closed_intervals_.size() > limits_.intervals || closed_node_entries_ > limits_.nodes) {
+    if (closed_intervals_.empty()) break;
+    dropped_until_ = closed_intervals_.front().ended_at;
+    closed_node_entries_ -= closed_intervals_.front().nodes.size();
+    closed_intervals_.pop_front();
   }
-  ++open_.number;
-  open_.changed = subject;
-  open_.from = now;
-  for (std::size_t i = 0; i < kSubjects; ++i) open_.by[i] = {held_[i].count, held_[i].epoch, held_[i].hash};
-  for (auto& of_vertical : open_.acts) of_vertical.fill(0);
-  for (auto& acts : nodes_) acts = {};
-}
-
-Interval Versions::open() const {
-  auto so_far = open_;
-  for (std::size_t i = 0; i < nodes_.size(); ++i)
-    if (nodes_[i].sent > 0 || nodes_[i].unsent > 0) {
-      so_far.nodes.push_back(nodes_[i]);
+  ++open_interval_.number;
+  open_interval_.changed_input = input;
+  open_interval_.started_at = now;
+  for (std::size_t i = 0; i < kVersionedInputCount; ++i)
+    open_interval_.versions[i] = {versions_[i].count, versions_[i].epoch, versions_[i].hash};
+  for (auto& of_vertical : open_interval_.actions) of_vertical.fill(0);
+  for (auto& calls : node_calls_) calls = {};
+}
+
+Interval VersionTracker::open_interval() const {
+  auto so_far = open_interval_;
+  for (std::size_t i = 0; i < node_calls_.size(); ++i)
+    if (node_calls_[i].sent > 0 || node_calls_[i].unsent > 0) {
+      so_far.nodes.push_back(node_calls_[i]);
       so_far.nodes.back().node = static_cast<int>(i);
-      if (i < names_.size()) so_far.nodes.back().name = names_[i];
+      if (i < node_names_.size()) so_far.nodes.back().name = node_names_[i];
     }
   return so_far;
 }
 
-// --- doubt
+// --- suspicions
 
-void Versions::doubt(Doubt kind, double since, double evidence, int node) {
-  auto& held = doubts_[static_cast<std::size_t>(kind)];
-  if (!held) held = Doubted{kind, since, 0, kNone};
-  held->evidence = evidence;
-  held->node = node;
+void VersionTracker::suspect(StalenessKind kind, double since, double evidence, int node) {
+  auto& suspicion = suspicions_[static_cast<std::size_t>(kind)];
+  if (!suspicion) suspicion = StalenessSuspicion{kind, since, 0, kNone};
+  suspicion->evidence = evidence;
+  suspicion->node = node;
 }
 
-void Versions::heard(double now) {
-  heard_ = now;
-  settle(Doubt::silent);
+void VersionTracker::on_watch_data(double now) {
+  last_watch_data_at_ = now;
+  clear_suspicion(StalenessKind::silent);
 }
 
-void Versions::watch_lost(double now) {
-  doubt(Doubt::silent, heard_, now - heard_);
+void VersionTracker::on_watch_lost(double now) {
+  suspect(StalenessKind::silent, last_watch_data_at_, now - last_watch_data_at_);
 }
 
-void Versions::passed_over(long long count, double now) {
-  doubt(Doubt::gap, now, static_cast<double>(count));
+void VersionTracker::on_stale_list(long long count, double now) {
+  suspect(StalenessKind::gap, now, static_cast<double>(count));
 }
 
-void Versions::unusable(double now) {
-  doubt(Doubt::unusable, now, 1);
+void VersionTracker::on_unusable_list(double now) {
+  suspect(StalenessKind::unusable, now, 1);
 }
 
-void Versions::kept(bool something, double now) {
-  something ? doubt(Doubt::kept, now, 1) : settle(Doubt::kept);
+void VersionTracker::on_file_reloaded(bool kept, double now) {
+  kept ? suspect(StalenessKind::kept, now, 1) : clear_suspicion(StalenessKind::kept);
 }
 
-void Versions::listed(int node, std::string_view name, bool up) {
+void VersionTracker::set_node(int node, std::string_view name, bool up) {
   const auto i = static_cast<std::size_t>(node);
-  if (i >= runs_.size()) runs_.resize(i + 1);
-  if (i >= names_.size()) names_.resize(i + 1);
-  if (names_[i] != name) {
-    names_[i] = name;
-    runs_[i] = {};
+  if (i >= rejection_runs_.size()) rejection_runs_.resize(i + 1);
+  if (i >= node_names_.size()) node_names_.resize(i + 1);
+  if (node_names_[i] != name) {
+    node_names_[i] = name;
+    rejection_runs_[i] = {};
   }
-  if (runs_[i].up != up) runs_[i] = {};
-  runs_[i].up = up;
+  if (rejection_runs_[i].up != up) rejection_runs_[i] = {};
+  rejection_runs_[i].up = up;
 }
 
-void Versions::ended(int node, Outcome outcome, double now) {
+void VersionTracker::on_call_ended(int node, Outcome outcome, double now) {
   const auto i = static_cast<std::size_t>(node);
-  if (i >= runs_.size() || !runs_[i].up) return;
-  auto& run = runs_[i];
+  if (i >= rejection_runs_.size() || !rejection_runs_[i].up) return;
+  auto& run = rejection_runs_[i];
   switch (outcome) {
     case Outcome::overloaded:
     case Outcome::unreachable:
-      if (run.turned_away + run.refused == 0) run.since = now;
+      if (run.turned_away + run.refused == 0) run.started_at = now;
       ++(outcome == Outcome::overloaded ? run.turned_away : run.refused);
       return;
     case Outcome::success:
@@ -164,44 +168,49 @@
     case Outcome::malformed:
       run.turned_away = run.refused = 0;
       return;
-    default:  // says nothing of whether the node takes part
+    default:  // shows nothing about whether the node takes queries
       return;
   }
 }
 
-// A node that turns all away is full, or its draining was not told; while most turn away it is the load.
-void Versions::tick(double now, const std::vector<bool>& hidden) {
-  if (auto& silent = doubts_[static_cast<std::size_t>(Doubt::silent)]; silent)
+// A node that rejects all calls is full, or it drains and the list does not say so. If most nodes reject
+// calls, the cause is the load, and the list is not suspected.
+void VersionTracker::tick(double now, const std::vector<bool>& site_lost) {
+  if (auto& silent = suspicions_[static_cast<std::size_t>(StalenessKind::silent)]; silent)
     silent->evidence = now - silent->since;
-  int listed = 0, away = 0, refused = 0, last_away = kNone, last_refused = kNone;
-  double away_since = now, refused_since = now;
-  for (std::size_t i = 0; i < runs_.size(); ++i) {
-    const auto& run = runs_[i];
-    if (!run.up || (i < hidden.size() && hidden[i])) continue;
+  int listed = 0, rejecting = 0, refused = 0, last_rejecting = kNone, last_refused = kNone;
+  double rejecting_since = now, refused_since = now;
+  for (std::size_t i = 0; i < rejection_runs_.size(); ++i) {
+    const auto& run = rejection_runs_[i];
+    if (!run.up || (i < site_lost.size() && site_lost[i])) continue;
     ++listed;
-    if (run.turned_away + run.refused < kRow || now < run.since + kRowLasts) continue;
+    if (run.turned_away + run.refused < kMinRejectedCalls || now < run.started_at + kMinRejectionSeconds)
+      continue;
     const auto refuses = run.refused > run.turned_away;
-    ++(refuses ? refused : away);
-    (refuses ? last_refused : last_away) = static_cast<int>(i);
-    auto& since = refuses ? refused_since : away_since;
-    since = std::min(since, run.since);
+    ++(refuses ? refused : rejecting);
+    (refuses ? last_refused : last_rejecting) = static_cast<int>(i);
+    auto& since = refuses ? refused_since : rejecting_since;
+    since = std::min(since, run.started_at);
   }
-  const auto few = [&](int many) { return many > 0 && 2 * many < listed; };
-  few(away) ? doubt(Doubt::turned_away, away_since, away, last_away) : settle(Doubt::turned_away);
-  few(refused) ? doubt(Doubt::refused, refused_since, refused, last_refused) : settle(Doubt::refused);
+  const auto is_minority = [&](int nodes) { return nodes > 0 && 2 * nodes < listed; };
+  is_minority(rejecting) ? suspect(StalenessKind::turned_away, rejecting_since, rejecting, last_rejecting)
+                         : clear_suspicion(StalenessKind::turned_away);
+  is_minority(refused) ? suspect(StalenessKind::refused, refused_since, refused, last_refused)
+                       : clear_suspicion(StalenessKind::refused);
 }
 
-std::vector<Doubted> Versions::doubts() const {
-  std::vector<Doubted> found;
-  for (const auto& one : doubts_)
-    if (one) found.push_back(*one);
-  return found;
+std::vector<StalenessSuspicion> VersionTracker::suspicions() const {
+  std::vector<StalenessSuspicion> result;
+  for (const auto& suspicion : suspicions_)
+    if (suspicion) result.push_back(*suspicion);
+  return result;
 }
 
-double Versions::doubted_since() const {
+double VersionTracker::suspected_since() const {
   double since = 0;
-  for (const auto& one : doubts_)
-    if (one && one->kind != Doubt::kept) since = since > 0 ? std::min(since, one->since) : one->since;
+  for (const auto& suspicion : suspicions_)
+    if (suspicion && suspicion->kind != StalenessKind::kept)
+      since = since > 0 ? std::min(since, suspicion->since) : suspicion->since;
   return since;
 }
 
--- a/src/versions/versions.hpp
+++ b/src/versions/versions.hpp
@@ -1,8 +1,8 @@
-// Which versions this router acts on (of the list, its configuration, the operators' file, the program),
-// since when, and what it did by each: intervals in which no version changed, with counts of what was done.
-// And its own doubt, that it may be behind. No I/O; times are seconds on the router's own clock. Nothing is
-// allocated for what a query does; a change of version begins an interval and may allocate. Bounded: what was
-// dropped is a stated gap.
+// Tracks which versions of its inputs (the node list, its configuration, the operators' file, the program)
+// this router acts on and since when, and counts what it did by each. The record is a sequence of intervals
+// in which no version changed. Also tracks reasons to suspect that the router's view is stale. No I/O; times
+// are in seconds on the router's own clock. Counting a query allocates nothing; a change of version starts an
+// interval and may allocate. Memory is bounded: the end of the dropped intervals is known.
 #pragma once
 
 #include <array>
@@ -17,160 +17,170 @@
 
 namespace yoketurn {
 
-enum class Subject : std::uint8_t { list, configuration, operators, build, last };
-inline constexpr std::size_t kSubjects = static_cast<std::size_t>(Subject::last);
+enum class VersionedInput : std::uint8_t { list, configuration, operators, build, last };
+inline constexpr std::size_t kVersionedInputCount = static_cast<std::size_t>(VersionedInput::last);
 
-// What is acted on of one subject. Counts of two epochs are never compared: an epoch ends where the source
-// changes or its count starts again.
+// The version of one input that is acted on. Counts of different epochs are never compared: an epoch ends
+// when the source changes or its count starts again.
 struct Version {
-  long long count = 0;     // as the source counts; of files: how often they were read
-  int epoch = 0;           // 0: nothing is known yet
+  long long count = 0;     // the source's sequence number; of files: how often they were read
+  int epoch = 0;           // 0: no version yet
   std::uint64_t hash = 0;  // of the whole content
   std::string source;
-  double told = 0, acted = 0;
+  double received_at = 0, applied_at = 0;
 };
 
-// What is done by a version.
-enum class Act : std::uint8_t {
-  first,
-  copy,
-  resent,
-  unsent,  // of the three before: never left this router, or reached nobody
-  whole,
-  part,
+// What a router does by its versions, for the counts of an interval.
+enum class RouterAction : std::uint8_t {
+  first,   // the first call of a part
+  copy,    // a hedged copy
+  resent,  // a call after one that failed
+  unsent,  // a call of these three kinds that never left the router or reached no node
+  whole,   // a query merged with all its weight
+  part,    // a query merged with a part of it
   rejected,
   aborted,
-  last
+  last  // the number of actions
 };
-inline constexpr std::size_t kActs = static_cast<std::size_t>(Act::last);
+inline constexpr std::size_t kRouterActionCount = static_cast<std::size_t>(RouterAction::last);
 
-struct NodeActs {
+// Calls to one node in an interval.
+struct NodeCalls {
   int node = kNone;
-  std::string name;  // filled when it is told or its interval closes: numbers are given again
+  std::string name;  // set when the interval closes or is reported, as node numbers are reused
   std::uint32_t sent = 0, unsent = 0;
-  double first = 0, last = 0;  // when it was sent to
+  double first_sent_at = 0, last_sent_at = 0;
 };
 
 struct Interval {
   std::uint64_t number = 0;
-  Subject changed = Subject::list;  // what began it
-  double from = 0, to = 0;          // to: 0 while it is open
-  struct Held {
+  VersionedInput changed_input = VersionedInput::list;  // whose change started the interval
+  double started_at = 0, ended_at = 0;                  // ended_at: 0 while it is open
+  struct AppliedVersion {
     long long count = 0;
     int epoch = 0;
     std::uint64_t hash = 0;
   };
-  std::array<Held, kSubjects> by{};
-  std::vector<std::array<std::uint32_t, kActs>> acts;  // by vertical
-  std::vector<NodeActs> nodes;                         // that were sent to
-  std::array<std::uint64_t, kActs> sums() const;
+  std::array<AppliedVersion, kVersionedInputCount> versions{};         // by input
+  std::vector<std::array<std::uint32_t, kRouterActionCount>> actions;  // by vertical
+  std::vector<NodeCalls> nodes;                                        // that were sent to
+  std::array<std::uint64_t, kRouterActionCount> total_actions() const;
 };
 
-// Why a router holds it for possible that it is behind.
-enum class Doubt : std::uint8_t {
-  silent,       // the watch has said nothing for longer than its heartbeat allows
-  gap,          // a change came whose count is not above the one held: the count has started again
-  unusable,     // a change that could not be read
-  contradicts,  // the same count of the same source came with another content
-  turned_away,  // nodes that are listed ready turn all away for a while
-  refused,      // the same: connections to them are refused
-  kept,         // a file was read again and something of it can't be used while the router runs
-  last
+// Why a router suspects that its view is stale.
+enum class StalenessKind : std::uint8_t {
+  silent,       // the discovery watch has sent nothing for longer than its heartbeat allows
+  gap,          // a change arrived whose count is not above the present one: the count has started again
+  unusable,     // a change could not be read
+  contradicts,  // the same count of the same source arrived with other content
+  turned_away,  // some nodes listed as ready have rejected all calls as overloaded for a while
+  refused,      // some nodes listed as ready have refused all connections for a while
+  kept,         // a file was read again, and something in it can't be applied while the router runs
+  last          // the number of kinds
 };
-inline constexpr std::size_t kDoubts = static_cast<std::size_t>(Doubt::last);
+inline constexpr std::size_t kStalenessKindCount = static_cast<std::size_t>(StalenessKind::last);
 
-struct Doubted {
-  Doubt kind = Doubt::silent;
+struct StalenessSuspicion {
+  StalenessKind kind = StalenessKind::silent;
   double since = 0;
-  double evidence = 0;  // silent: seconds; gap, contradicts: the count; others: how many nodes
-  int node = kNone;     // the latest it hangs on
+  double evidence = 0;  // silent: seconds; gap, contradicts: the count; others: the number of nodes
+  int node = kNone;     // the latest node that gave rise to it
 };
 
-std::string_view name(Subject subject);
-std::string_view name(Act act);
-std::string_view name(Doubt doubt);
+std::string_view name(VersionedInput input);
+std::string_view name(RouterAction action);
+std::string_view name(StalenessKind kind);
 
-class Versions {
+class VersionTracker {
  public:
   struct Limits {
-    std::size_t intervals = 8;  // that are kept beside the open one
-    std::size_t nodes = 1024;   // entries of nodes in all of them
+    std::size_t intervals = 8;  // kept in addition to the open one
+    std::size_t nodes = 1024;   // NodeCalls entries in all closed intervals
   };
-  Versions(const Limits& limits, int verticals, double now);
-
-  // Acted on from now on; told: when it came. A list may say the same again: then nothing begins.
-  // Returns whether a version changed.
-  bool list(long long count, std::uint64_t hash, std::string_view source, bool full, double told, double now);
-  bool file(Subject subject, std::uint64_t hash, std::string_view source, double now);
-  void bound(const Limits& limits) { limits_ = limits; }
-
-  // On the path of a query.
-  void sent(int vertical, Act act, int node, double now) {
-    ++open_.acts[static_cast<std::size_t>(vertical)][static_cast<std::size_t>(act)];
-    auto& acts = of(node);
-    if (acts.sent++ == 0) acts.first = now;
-    acts.last = now;
+  VersionTracker(const Limits& limits, int verticals, double now);
+
+  // A version is acted on from now on. A list may repeat the present version: then no interval starts.
+  // full: the whole list, not a change. Returns whether the version changed.
+  bool apply_list(long long count, std::uint64_t hash, std::string_view source, bool full, double received_at,
+                  double now);
+  bool apply_file(VersionedInput input, std::uint64_t hash, std::string_view source, double now);
+  void set_limits(const Limits& limits) { limits_ = limits; }
+
+  // The next three are called for each query or call and don't allocate.
+  void record_sent(int vertical, RouterAction action, int node, double now) {
+    ++open_interval_.actions[static_cast<std::size_t>(vertical)][static_cast<std::size_t>(action)];
+    auto& calls = calls_to(node);
+    if (calls.sent++ == 0) calls.first_sent_at = now;
+    calls.last_sent_at = now;
   }
-  void unsent(int vertical, int node) {
-    ++open_.acts[static_cast<std::size_t>(vertical)][static_cast<std::size_t>(Act::unsent)];
-    ++of(node).unsent;
+  void record_unsent(int vertical, int node) {
+    ++open_interval_
+          .actions[static_cast<std::size_t>(vertical)][static_cast<std::size_t>(RouterAction::unsent)];
+    ++calls_to(node).unsent;
   }
-  void answered(int vertical, Act act) {
-    ++open_.acts[static_cast<std::size_t>(vertical)][static_cast<std::size_t>(act)];
+  void record_query_end(int vertical, RouterAction action) {
+    ++open_interval_.actions[static_cast<std::size_t>(vertical)][static_cast<std::size_t>(action)];
   }
-  void ended(int node, Outcome outcome, double now);  // of a call, for the doubts
-
-  void heard(double now);  // anything of the watch
-  void watch_lost(double now);
-  void passed_over(long long count, double now);  // a change whose count is not above the one held
-  void unusable(double now);
-  void kept(bool something, double now);                  // of a file that was read again
-  void listed(int node, std::string_view name, bool up);  // after list()
-  // Looks at the doubts, a node's run of refusals among them; hidden: at a site held for lost.
-  void tick(double now, const std::vector<bool>& hidden);
-
-  const Version& version(Subject subject) const { return held_[static_cast<std::size_t>(subject)]; }
-  Interval open() const;  // the one that goes on, so far
-  const std::deque<Interval>& closed() const { return closed_; }
-  std::uint64_t number() const { return open_.number; }
-  double began() const { return began_; }
-  std::string_view name_of(int node) const {
-    return node >= 0 && static_cast<std::size_t>(node) < names_.size()
-               ? names_[static_cast<std::size_t>(node)]
+  void on_call_ended(int node, Outcome outcome, double now);  // for the suspicions
+
+  void on_watch_data(double now);  // the discovery watch has sent anything
+  void on_watch_lost(double now);
+  void on_stale_list(long long count, double now);  // a change whose count is not above the present one
+  void on_unusable_list(double now);
+  // kept: something in a file that was read again can't be applied while the router runs.
+  void on_file_reloaded(bool kept, double now);
+  void set_node(int node, std::string_view name, bool up);  // after apply_list()
+  // Updates the suspicions. site_lost: by node, whether its site is lost; its rejections then count for
+  // nothing.
+  void tick(double now, const std::vector<bool>& site_lost);
+
+  const Version& version(VersionedInput input) const { return versions_[static_cast<std::size_t>(input)]; }
+  Interval open_interval() const;  // its counts so far
+  const std::deque<Interval>& closed_intervals() const { return closed_intervals_; }
+  std::uint64_t open_interval_number() const { return open_interval_.number; }
+  double started_at() const { return started_at_; }
+  std::string_view node_name(int node) const {
+    return node >= 0 && static_cast<std::size_t>(node) < node_names_.size()
+               ? node_names_[static_cast<std::size_t>(node)]
                : std::string_view();
   }
-  std::uint64_t oldest() const { return closed_.empty() ? open_.number : closed_.front().number; }
-  double gap_until() const { return gap_until_; }  // intervals that ended by then are dropped; 0: none
-  std::vector<Doubted> doubts() const;
-  double doubted_since() const;  // of its list, as that is what it can ask for again; 0: there is no doubt
+  std::uint64_t oldest_interval_number() const {
+    return closed_intervals_.empty() ? open_interval_.number : closed_intervals_.front().number;
+  }
+  // Intervals that ended by this time have been dropped; 0: none has.
+  double dropped_until() const { return dropped_until_; }
+  std::vector<StalenessSuspicion> suspicions() const;
+  // Since when the node list is suspected, as the list is what the router can request again; 0: it is not.
+  double suspected_since() const;
 
  private:
-  struct Run {  // of calls to a node that were turned away or refused without any other end
+  // Calls to a node in a row that were rejected or whose connection was refused, without any other end.
+  struct RejectionRun {
     bool up = false;
     int turned_away = 0, refused = 0;
-    double since = 0;
+    double started_at = 0;
   };
-  NodeActs& of(int node) {
+  NodeCalls& calls_to(int node) {
     const auto i = static_cast<std::size_t>(node);
-    if (i >= nodes_.size()) nodes_.resize(i + 1);  // a number is new only when a list has brought it
-    return nodes_[i];
+    if (i >= node_calls_.size()) node_calls_.resize(i + 1);  // only after a list has brought a new node
+    return node_calls_[i];
   }
-  void begin(Subject subject, Version next, double now);
-  void doubt(Doubt kind, double since, double evidence, int node = kNone);
-  void settle(Doubt kind) { doubts_[static_cast<std::size_t>(kind)].reset(); }
+  void start_interval(VersionedInput input, Version next, double now);
+  void suspect(StalenessKind kind, double since, double evidence, int node = kNone);
+  void clear_suspicion(StalenessKind kind) { suspicions_[static_cast<std::size_t>(kind)].reset(); }
 
   Limits limits_;
-  double began_;
-  std::array<Version, kSubjects> held_{};
-  Interval open_;
-  std::vector<NodeActs> nodes_;  // of the open interval, by number
-  std::deque<Interval> closed_;
-  std::size_t entries_ = 0;  // of nodes in closed_
-  double gap_until_ = 0;
-  std::array<std::optional<Doubted>, kDoubts> doubts_;
-  std::vector<Run> runs_;
-  std::vector<std::string> names_;  // of nodes, by number
-  double heard_ = 0;
+  double started_at_;
+  std::array<Version, kVersionedInputCount> versions_{};  // acted on now
+  Interval open_interval_;
+  std::vector<NodeCalls> node_calls_;  // of the open interval, by node
+  std::deque<Interval> closed_intervals_;
+  std::size_t closed_node_entries_ = 0;  // NodeCalls entries in closed_intervals_
+  double dropped_until_ = 0;
+  std::array<std::optional<StalenessSuspicion>, kStalenessKindCount> suspicions_;
+  std::vector<RejectionRun> rejection_runs_;  // by node
+  std::vector<std::string> node_names_;       // by node
+  double last_watch_data_at_ = 0;
 };
 
 }  // namespace yoketurn
--- a/tests/audit_days_test.cpp
+++ b/tests/audit_days_test.cpp
@@ -14,7 +14,7 @@
 #include "tests/played.hpp"
 
 using namespace yoketurn::rig;
-using yoketurn::Subject;
+using yoketurn::VersionedInput;
 using yoketurn::audit::Account;
 
 namespace {
@@ -83,11 +83,11 @@
             if (!known_as.contains(acts.name)) continue;
             told += static_cast<long long>(acts.sent) - acts.unsent;
             // And in this interval: but for those that crossed its edges.
-            const auto from = w.day_at(interval.from - life.offset);
+            const auto from = w.day_at(interval.started_at - life.offset);
             const auto last = router.lives.rbegin()->first == began;
-            const auto to = interval.to > 0 ? w.day_at(interval.to - life.offset)
-                            : last          ? 1e9
-                                            : w.day_at(life.last_seen);
+            const auto to = interval.ended_at > 0 ? w.day_at(interval.ended_at - life.offset)
+                            : last                ? 1e9
+                                                  : w.day_at(life.last_seen);
             const auto within = [&](double slack) {
               return std::count_if(sent.begin(), sent.end(),
                                    [&](double t) { return t >= from + slack && t < to - slack; });
@@ -112,7 +112,7 @@
   for (const auto& e : w.record()) {
     if (e.kind != Kind::told || e.number <= 1) continue;
     const auto name = w.router(e.router);
-    const auto acting = w.account.acting(name, Subject::list);
+    const auto acting = w.account.acting(name, VersionedInput::list);
     // A later one may have taken its place at once.
     const auto done = std::any_of(acting.begin(), acting.end(), [&](const auto& a) {
       return a.count >= e.number && std::abs(w.day_at(a.from) - e.at) < 0.5;
@@ -160,15 +160,15 @@
       for (const auto& told : reader.take(line)) {
         const auto& intervals = lives.begin()->second.intervals;
         const auto same = intervals.find(told.interval.number);
-        if (same == intervals.end() || same->second.to <= 0) continue;
+        if (same == intervals.end() || same->second.ended_at <= 0) continue;
         ++compared;
-        CHECK(told.interval.sums() == same->second.sums());
-        CHECK(told.interval.by[0].hash == same->second.by[0].hash);
-        CHECK(told.interval.by[0].count == same->second.by[0].count);
-        CHECK(told.interval.from == doctest::Approx(same->second.from));
+        CHECK(told.interval.total_actions() == same->second.total_actions());
+        CHECK(told.interval.versions[0].hash == same->second.versions[0].hash);
+        CHECK(told.interval.versions[0].count == same->second.versions[0].count);
+        CHECK(told.interval.started_at == doctest::Approx(same->second.started_at));
       }
     CHECK(reader.stand.router == w.router(r));
-    CHECK(reader.stand.by[0].hash == w.account.now_acting(w.router(r), Subject::list)->hash);
+    CHECK(reader.stand.versions[0].hash == w.account.now_acting(w.router(r), VersionedInput::list)->hash);
     CHECK(compared >= 1);
   }
 }
@@ -208,8 +208,8 @@
   CHECK(!said(w.record(), Kind::audit, 0, "ordered router=brest-0 step=ask_again").empty());
   CHECK(!said(w.record(), Kind::audit, 0, "ordered router=brest-0 step=follow").empty());
   CHECK(said(w.record(), Kind::audit, 0, "step=step_aside").empty());
-  const auto list = w.account.now_acting("brest-0", Subject::list);
-  const auto other = w.account.now_acting("rennes-0", Subject::list);
+  const auto list = w.account.now_acting("brest-0", VersionedInput::list);
+  const auto other = w.account.now_acting("rennes-0", VersionedInput::list);
   REQUIRE(list);
   REQUIRE(other);
   CHECK(list->hash == other->hash);
@@ -245,8 +245,8 @@
   CHECK(!said(w.record(), Kind::audit, 0, "router name=brest-0 state=unreachable", 5, 13).empty());
   CHECK(said(w.record(), Kind::audit, 0, "router name=brest-0 state=straggler", 5, 13).empty());
   CHECK(said(w.record(), Kind::audit, 0, "step=step_aside").empty());
-  const auto list = w.account.now_acting("brest-0", Subject::list);
-  const auto other = w.account.now_acting("rennes-0", Subject::list);
+  const auto list = w.account.now_acting("brest-0", VersionedInput::list);
+  const auto other = w.account.now_acting("rennes-0", VersionedInput::list);
   REQUIRE(list);
   REQUIRE(other);
   CHECK(list->hash == other->hash);
@@ -256,10 +256,10 @@
   const auto w = watched("audit-counts");
   // A count that starts anew is an epoch of its own, never behind.
   CHECK(said(w.record(), Kind::audit, 0, "state=straggler", 0, 12).empty());
-  CHECK(w.account.now_acting("brest-0", Subject::list)->epoch == 2);
+  CHECK(w.account.now_acting("brest-0", VersionedInput::list)->epoch == 2);
   // The one whose agent said nothing of it noticed by the count, and asked for the whole list.
   CHECK(!said(w.record(), Kind::standing, 0, "list_again count=").empty());
-  CHECK(w.account.now_acting("rennes-0", Subject::list)->epoch == 2);
+  CHECK(w.account.now_acting("rennes-0", VersionedInput::list)->epoch == 2);
   const auto forks = w.account.forks();
   using yoketurn::audit::ForkKind;
   CHECK(std::count_if(forks.begin(), forks.end(),
@@ -279,19 +279,21 @@
   // Half and more act on the new file: the rest is told to read again, and does.
   CHECK(!said(w.record(), Kind::audit, 0, "ordered router=brest-1 step=read_again").empty());
   const auto file = [&](const char* router) {
-    return w.account.now_acting(router, Subject::operators)->hash;
+    return w.account.now_acting(router, VersionedInput::operators)->hash;
   };
   CHECK(file("rennes-0") == file("vannes-1"));
   // A third of the fleet ran another program for a while, and nobody was shut out for that.
   int others = 0;
   for (const auto* router : {"rennes-0", "rennes-1", "brest-0", "brest-1", "vannes-0", "vannes-1"}) {
     std::set<std::uint64_t> programs;
-    for (const auto& a : w.account.acting(router, Subject::build)) programs.insert(a.hash);
+    for (const auto& a : w.account.acting(router, VersionedInput::build)) programs.insert(a.hash);
     others += programs.size() == 2;
   }
   CHECK(others == 2);
   CHECK(said(w.record(), Kind::audit, 0, "step=shut_out").empty());
-  const auto build = [&](const char* router) { return w.account.now_acting(router, Subject::build)->hash; };
+  const auto build = [&](const char* router) {
+    return w.account.now_acting(router, VersionedInput::build)->hash;
+  };
   CHECK(build("rennes-0") == build("brest-1"));
 }
 
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -43,26 +43,26 @@
     one = {};
     one.site = site;
     one.began = at;
-    one.open.from = at;
+    one.open.started_at = at;
     one.build = {1, 1, build == 0 ? 77 : build, "p", at, at};
     one.operators = {1, 1, 5, "f", at, at};
     change(name, at, [](One&) {});
   }
-  template <class Act>
-  void change(const std::string& name, double at, Act act) {
+  template <class RouterAction>
+  void change(const std::string& name, double at, RouterAction act) {
     auto& one = routers[name];
-    if (at > one.open.from) {
-      one.open.to = at;
+    if (at > one.open.started_at) {
+      one.open.ended_at = at;
       account.take(name, one.began, {one.open, {"look"}});
       ++one.number;
     }
     act(one);
     one.open = {};
     one.open.number = one.number;
-    one.open.from = at;
-    one.open.acts.resize(1);
-    const auto held = [](const Version& v) { return Interval::Held{v.count, v.epoch, v.hash}; };
-    one.open.by = {held(one.list), {1, 1, 1}, held(one.operators), held(one.build)};
+    one.open.started_at = at;
+    one.open.actions.resize(1);
+    const auto held = [](const Version& v) { return Interval::AppliedVersion{v.count, v.epoch, v.hash}; };
+    one.open.versions = {held(one.list), {1, 1, 1}, held(one.operators), held(one.build)};
   }
   void list(const std::string& name, long long count, std::uint64_t hash, double at) {
     change(name, at, [&](One& one) {
@@ -80,13 +80,13 @@
         account.missed(name, at);
         continue;
       }
-      Stand s;
+      VersionReport s;
       s.router = name;
       s.site = one.site;
-      s.unix = at;
-      s.began = one.began;
+      s.unix_time = at;
+      s.process_started_at = one.began;
       s.serving = true;
-      s.by = {one.list, Version{1, 1, 1, "", one.began, one.began}, one.operators, one.build};
+      s.versions = {one.list, Version{1, 1, 1, "", one.began, one.began}, one.operators, one.build};
       account.take({s, at, 0, 0.001});
       account.take(name, one.began, {one.open, {"look"}});
     }
@@ -116,22 +116,22 @@
 }
 
 Seen seen(const std::string& router, double at) {
-  Stand s;
+  VersionReport s;
   s.router = router;
-  s.began = 50;
-  s.unix = at;
-  s.by[0] = {7, 1, 70, "a", at, at};
+  s.process_started_at = 50;
+  s.unix_time = at;
+  s.versions[0] = {7, 1, 70, "a", at, at};
   return {s, at, 0, 0.001};
 }
 
-ToldInterval interval(std::uint64_t number, double from, double to, std::uint32_t sent = 1) {
-  ToldInterval told;
+ReportedInterval interval(std::uint64_t number, double from, double to, std::uint32_t sent = 1) {
+  ReportedInterval told;
   told.verticals = {"look"};
   told.interval.number = number;
-  told.interval.from = from;
-  told.interval.to = to;
-  told.interval.by[0] = {static_cast<long long>(number), 1, number * 10};
-  told.interval.acts.push_back({sent});
+  told.interval.started_at = from;
+  told.interval.ended_at = to;
+  told.interval.versions[0] = {static_cast<long long>(number), 1, number * 10};
+  told.interval.actions.push_back({sent});
   return told;
 }
 
@@ -280,7 +280,7 @@
   SUBCASE("two processes under one name") {
     town.see(110);
     auto other = seen("a-0", 111);
-    other.stand.began = 90;
+    other.stand.process_started_at = 90;
     town.account.take(other);
     town.see(112);
     other.at = 113;
@@ -292,29 +292,29 @@
 TEST_CASE("clocks that disagree: times are moved by what the exchanges bound") {
   Account account;
   auto ahead = seen("ahead", 110);  // its clock is 100 s ahead
-  ahead.stand.unix = 210;
-  ahead.stand.began = 150;
+  ahead.stand.unix_time = 210;
+  ahead.stand.process_started_at = 150;
   ahead.offset = 100;
   account.take(ahead);
   auto told = interval(1, 205, 0);
   account.take("ahead", 150, told);
   account.take(seen("exact", 110));
   account.take("exact", 50, interval(1, 105.0005, 0));
-  REQUIRE(account.acting("ahead", Subject::list).size() >= 1);
-  CHECK(account.acting("ahead", Subject::list)[0].from == doctest::Approx(105));
+  REQUIRE(account.acting("ahead", VersionedInput::list).size() >= 1);
+  CHECK(account.acting("ahead", VersionedInput::list)[0].from == doctest::Approx(105));
   // A worse bound later does not move them; a better one does.
   ahead.bound = 0.5;
   ahead.offset = 100.4;
   ahead.at = 111;
   account.take(ahead);
-  CHECK(account.acting("ahead", Subject::list)[0].from == doctest::Approx(105));
+  CHECK(account.acting("ahead", VersionedInput::list)[0].from == doctest::Approx(105));
   ahead.bound = 0.0001;
   ahead.offset = 100.002;
   ahead.at = 112;
   account.take(ahead);
-  CHECK(account.acting("ahead", Subject::list)[0].from == doctest::Approx(104.998));
+  CHECK(account.acting("ahead", VersionedInput::list)[0].from == doctest::Approx(104.998));
   // The two acted closer together than the clocks tell apart: the spread says how far that is.
-  const auto spreads = account.spreads(Subject::list);
+  const auto spreads = account.spreads(VersionedInput::list);
   const auto first =
       std::find_if(spreads.begin(), spreads.end(), [](const Spread& s) { return s.count == 1; });
   REQUIRE(first != spreads.end());
@@ -350,26 +350,26 @@
   late.condition = Condition::straggler;
   late.since = 100;
   late.agent = "127.0.0.1:9";
-  std::vector<Step> given;
+  std::vector<OrderStep> given;
   double now = 110;
   for (; now < 130; now += 0.5)
     for (const auto& order : overseer.round(fleet, now)) {
       CHECK(order.router == "b-0");
       CHECK(order.term == 4);
-      CHECK(order.until > now);
+      CHECK(order.expires_at > now);
       if (given.empty() || given.back() != order.step) given.push_back(order.step);
-      if (order.step == Step::step_aside) late.taking = Taking::aside;
-      if (order.step == Step::shut_out) late.taking = Taking::out;
+      if (order.step == OrderStep::step_aside) late.taking = Participation::aside;
+      if (order.step == OrderStep::shut_out) late.taking = Participation::out;
     }
-  CHECK(given ==
-        std::vector<Step>{Step::ask_again, Step::follow, Step::read_again, Step::step_aside, Step::shut_out});
+  CHECK(given == std::vector<OrderStep>{OrderStep::ask_again, OrderStep::follow, OrderStep::read_again,
+                                        OrderStep::step_aside, OrderStep::shut_out});
   late.condition = Condition::fine;
   std::vector<Order> back;
   for (; now < 135 && back.empty(); now += 0.5) back = overseer.round(fleet, now);
   REQUIRE(back.size() == 1);
-  CHECK(back[0].step == Step::back);
+  CHECK(back[0].step == OrderStep::back);
   // Nothing more, once it is.
-  late.taking = Taking::in;
+  late.taking = Participation::in;
   for (; now < 160; now += 0.5) CHECK(overseer.round(fleet, now).empty());
 }
 
@@ -394,13 +394,14 @@
       {"the other one of its site is dead", [](auto& f, auto&) { f[3].reachable = false; },
        Guard::last_of_site},
       {"or restarts", [](auto& f, auto&) { f[3].serving = false; }, Guard::last_of_site},
-      {"or is aside by itself", [](auto& f, auto&) { f[3].taking = Taking::aside; }, Guard::last_of_site},
+      {"or is aside by itself", [](auto& f, auto&) { f[3].taking = Participation::aside; },
+       Guard::last_of_site},
       {"or was told to go a moment ago", [](auto&, auto& out) { out["b-1"] = 120; }, Guard::last_of_site},
       {"that has lapsed", [](auto&, auto& out) { out["b-1"] = 100; }, Guard::none},
-      {"one elsewhere is out: a third of six are two", [](auto& f, auto&) { f[0].taking = Taking::out; },
-       Guard::none},
-      {"two are: a third would be the third", [](auto& f, auto&) { f[0].taking = f[4].taking = Taking::out; },
-       Guard::fleet},
+      {"one elsewhere is out: a third of six are two",
+       [](auto& f, auto&) { f[0].taking = Participation::out; }, Guard::none},
+      {"two are: a third would be the third",
+       [](auto& f, auto&) { f[0].taking = f[4].taking = Participation::out; }, Guard::fleet},
       {"a site is out of reach", [](auto& f, auto&) { f[0].reachable = f[1].reachable = false; },
        Guard::site_lost},
       {"two say that a site is lost",
@@ -422,7 +423,7 @@
   }
   Overseer overseer(limits, 1);
   for (double now = 110; now < 150; now += 0.5)
-    for (const auto& order : overseer.round(fleet, now)) CHECK(order.step < Step::step_aside);
+    for (const auto& order : overseer.round(fleet, now)) CHECK(order.step < OrderStep::step_aside);
   // One that hardly sees anybody orders nothing.
   for (int i = 0; i < 4; ++i) fleet[static_cast<std::size_t>(i)].reachable = false;
   Overseer blind(limits, 1);
@@ -446,8 +447,8 @@
           store.begin();
           store.put(seen("r", 100 + static_cast<double>(n)));
           store.put("r", 50, interval(n, 100 + static_cast<double>(n), 101 + static_cast<double>(n)));
-          store.put(
-              fleet::GivenOrder{{run + 1, static_cast<long long>(n), "r", Step::ask_again, "", 1e9, ""}, 1});
+          store.put(fleet::GivenOrder{
+              {run + 1, static_cast<long long>(n), "r", OrderStep::ask_again, "", 1e9, ""}, 1});
           store.commit();
           if (::write(ends[1], &n, sizeof n) != sizeof n) _exit(1);
         }
@@ -496,7 +497,7 @@
     const auto account = store.load(true);
     const auto& life = account.routers().at("r").lives.begin()->second;
     CHECK(life.intervals.contains(100));
-    CHECK(life.intervals.at(100).acts[0][0] == 5);
+    CHECK(life.intervals.at(100).actions[0][0] == 5);
     CHECK(!account.holes("r").empty());  // what has left is a stated hole
     // A disk that is full: told, and what was kept stays.
     store.bound_pages(1);
@@ -568,8 +569,8 @@
   for (const auto* line : lines) CHECK(reader.take(line).empty());
   CHECK(reader.stand.router == "r-1");
   CHECK(reader.stand.site == "rennes");
-  CHECK(reader.stand.by[0].count == 7);
-  CHECK(reader.stand.by[0].hash == 0xff);
+  CHECK(reader.stand.versions[0].count == 7);
+  CHECK(reader.stand.versions[0].hash == 0xff);
   CHECK(reader.stand.serving);
   const auto told = reader.take(
       "120.0 acted router=r-1 began=100.400000 interval=1 list=1.7 list_hash=00000000000000ff "
@@ -578,11 +579,11 @@
       "part=0 "
       "rejected=3 aborted=0");
   REQUIRE(told.size() == 1);
-  CHECK(told[0].interval.to == doctest::Approx(120));
-  CHECK(told[0].interval.by[0].count == 7);
-  CHECK(told[0].interval.by[0].epoch == 1);
-  CHECK(told[0].interval.by[3].hash == 0xc);
-  CHECK(told[0].interval.acts[0][static_cast<std::size_t>(Act::rejected)] == 3);
+  CHECK(told[0].interval.ended_at == doctest::Approx(120));
+  CHECK(told[0].interval.versions[0].count == 7);
+  CHECK(told[0].interval.versions[0].epoch == 1);
+  CHECK(told[0].interval.versions[3].hash == 0xc);
+  CHECK(told[0].interval.actions[0][static_cast<std::size_t>(RouterAction::rejected)] == 3);
 }
 
 TEST_CASE("properties") {
@@ -596,10 +597,10 @@
       const auto router = "r-" + std::to_string(any(3));
       if (any(2) == 0) {
         auto s = seen(router, 100 + any(50));
-        s.stand.unix = s.at;
+        s.stand.unix_time = s.at;
         s.bound = 0.001 * (1 + any(5));
         s.offset = 0.01 * any(5);
-        s.stand.began = 50 + 10 * any(1);
+        s.stand.process_started_at = 50 + 10 * any(1);
         words.push_back([s](Account& a) { a.take(s); });
       } else {
         const auto number = static_cast<std::uint64_t>(any(6));
@@ -627,11 +628,12 @@
         RC_ASSERT(life.bound == same.bound);
         RC_ASSERT(life.intervals.size() == same.intervals.size());
         for (const auto& [number, i] : life.intervals) {
-          RC_ASSERT(i.to == same.intervals.at(number).to);
-          RC_ASSERT(i.sums() == same.intervals.at(number).sums());
+          RC_ASSERT(i.ended_at == same.intervals.at(number).ended_at);
+          RC_ASSERT(i.total_actions() == same.intervals.at(number).total_actions());
         }
       }
-      const auto acting = straight.acting(name, Subject::list), acted = shuffled.acting(name, Subject::list);
+      const auto acting = straight.acting(name, VersionedInput::list),
+                 acted = shuffled.acting(name, VersionedInput::list);
       RC_ASSERT(acting.size() == acted.size());
     }
   }));
@@ -671,7 +673,7 @@
         case 4:  // the auditor dies, another takes its place
           if (any(9) == 0) {
             Overseer next(limits, overseer.term() + 1);
-            for (const auto& [router, until] : obeyed) next.outstanding(router, Step::step_aside, until);
+            for (const auto& [router, until] : obeyed) next.outstanding(router, OrderStep::step_aside, until);
             overseer = next;
           }
           break;
@@ -679,11 +681,11 @@
           break;
       }
       for (const auto& order : overseer.round(fleet, now)) {
-        if (order.step != Step::step_aside && order.step != Step::shut_out) {
-          if (order.step == Step::back) obeyed.erase(order.router);
+        if (order.step != OrderStep::step_aside && order.step != OrderStep::shut_out) {
+          if (order.step == OrderStep::back) obeyed.erase(order.router);
           continue;
         }
-        obeyed[order.router] = order.until;
+        obeyed[order.router] = order.expires_at;
         // What is out just after an order, whatever for.
         std::map<std::string, std::pair<int, int>> sites;
         int out = 0, lost_sites = 0, witnesses = 0;
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -24,7 +24,7 @@
 old-silence      @ src/sites/sites.cpp      @ s/if \(node.site == site_id\) node.unanswered_wait = 0;/node.unanswered_wait += 0;/ @ yoketurn_tests @ -ts=sites -tc=*quicker copy*
 list-is-life     @ src/sites/sites.cpp      @ s/if \(lost && host.started_at > site_at\(site\).lost_at\)/if (lost)/ @ yoketurn_tests @ -ts=sites -tc=*no sign of life*
 dear-first       @ src/policy/admission.cpp @ s/mean_density \/ std::max\(density, 1e-9\)/std::max(density, 1e-9) \/ mean_density/ @ yoketurn_tests @ -ts=brain -tc=under strain queries are refused*
-no-term          @ src/versions/service.cpp @ s/if \(order.term < last_.term\) return Verdict::lower_term;// @ yoketurn_tests @ -ts=versions
+no-term          @ src/versions/service.cpp @ s/if \(order.term < last_order_.term\) return OrderVerdict::lower_term;// @ yoketurn_tests @ -ts=versions
 last-of-site     @ src/audit/overseer.cpp   @ s/in_site - out_of_site <= 1/in_site - out_of_site <= 0/ @ yoketurn_fleet_tests @ -ts=audit -tc=guards: who*
 share-of-fleet   @ src/audit/overseer.cpp   @ s/out_of_fleet \+ 1 > limits/out_of_fleet > limits/ @ yoketurn_fleet_tests @ -ts=audit -tc=guards: who*
 across-epochs    @ src/audit/account.cpp    @ s/const auto passed =\s+std::upper_bound\(.*?restarts.begin\(\);/const auto passed = 0;/s @ yoketurn_fleet_tests @ -ts=audit -tc=forks*
--- a/tests/wall_deadline_test.cpp
+++ b/tests/wall_deadline_test.cpp
@@ -1,4 +1,4 @@
-// Deadlines that are told in wall-clock time, under steps of the wall clock.
+// Deadlines that are given in wall-clock time, under steps of the wall clock.
 #include "time/wall_deadline.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,8 @@
 
 TEST_SUITE_BEGIN("versions");
 
-TEST_CASE("a deadline in wall time stays where it is when the wall clock is stepped, and is told again") {
+TEST_CASE(
+    "a deadline in wall time is kept when the wall clock is stepped, and changes when a new one is given") {
   for (const auto step : kSteps) {
     CAPTURE(step);
     WallDeadline deadline;
@@ -23,25 +24,26 @@
   }
 }
 
-TEST_CASE("an order holds as long as it had left when it was taken, whatever the wall clock does") {
+TEST_CASE("an order holds for its remaining time when it was taken, whatever the wall clock does") {
   for (const auto step : kSteps) {
     CAPTURE(step);
-    Service service({}, "r-1", 1);
-    const Service::State sound;
-    const Order first{1, 1, "r-1", Step::step_aside, "", 1010, ""};
-    REQUIRE(service.order(first, sound, WallTime{1000}, 0) == Verdict::taken);
-    // The step comes now. The same file may be read again, the next one is written by the stepped clock.
-    CHECK(service.order(first, sound, WallTime{1005 + step}, 5) == Verdict::known);
-    service.tick(sound, 9.9);
-    CHECK(service.taking() == Taking::aside);
-    service.tick(sound, 10);
-    CHECK(service.taking() == Taking::in);
-    const Order second{1, 2, "r-1", Step::step_aside, "", 1030 + step, ""};
-    REQUIRE(service.order(second, sound, WallTime{1010 + step}, 10) == Verdict::taken);
-    service.tick(sound, 29.9);
-    CHECK(service.taking() == Taking::aside);
-    service.tick(sound, 30);
-    CHECK(service.taking() == Taking::in);
+    ParticipationController controller({}, "r-1", 1);
+    const ParticipationController::RouterState no_restriction;
+    const Order first{1, 1, "r-1", OrderStep::step_aside, "", 1010, ""};
+    REQUIRE(controller.apply_order(first, no_restriction, WallTime{1000}, 0) == OrderVerdict::taken);
+    // The wall clock is stepped now. The same file may be read again; the next one is written by the stepped
+    // clock.
+    CHECK(controller.apply_order(first, no_restriction, WallTime{1005 + step}, 5) == OrderVerdict::known);
+    controller.tick(no_restriction, 9.9);
+    CHECK(controller.participation() == Participation::aside);
+    controller.tick(no_restriction, 10);
+    CHECK(controller.participation() == Participation::in);
+    const Order second{1, 2, "r-1", OrderStep::step_aside, "", 1030 + step, ""};
+    REQUIRE(controller.apply_order(second, no_restriction, WallTime{1010 + step}, 10) == OrderVerdict::taken);
+    controller.tick(no_restriction, 29.9);
+    CHECK(controller.participation() == Participation::aside);
+    controller.tick(no_restriction, 30);
+    CHECK(controller.participation() == Participation::in);
   }
 }
 
