--- a/src/queries/queries.cpp
+++ b/src/queries/queries.cpp
@@ -18,7 +18,7 @@
 // Called before each call of the policy, so that nothing more is sent to a site in the round that brings the
 // evidence of its loss.
 void Queries::apply_site_shares() {
-  if (sites_.changed()) policy_->set_site_shares(sites_.shares());
+  if (sites_.take_shares_changed()) policy_->set_site_shares(sites_.shares());
 }
 
 bool Queries::tick(double now) {
@@ -66,7 +66,7 @@
   if (outcome == Outcome::success && !pending.query.leaves[index].answered) pending.scores[index] = score;
   --pending.pending_calls;
   actions_.on_call_ended(pending.query.vertical, call);
-  sites_.ended(call.node, call.sent_at, outcome, now);
+  sites_.on_call_ended(call.node, call.sent_at, outcome, now);
   apply_site_shares();
   if (observer_ != nullptr) observer_->on_outcome(query, pending.query, leaf, call_index, now);
   carry_out(query, pending, policy_->on_call_ended(pending.query, leaf, call_index, now), now);
@@ -91,7 +91,7 @@
     auto& calls = pending.query.leaves[static_cast<std::size_t>(send.leaf)].calls;
     calls.push_back({send.node, send.batch, now, Outcome::pending});
     ++pending.pending_calls;
-    sites_.sent(send.node, now);
+    sites_.on_call_sent(send.node, now);
     actions_.send(query, send, static_cast<int>(calls.size()) - 1);
   }
   if (decision.query_end != QueryEnd::none) finish_step(query, pending, decision);
--- a/src/queries/queries.hpp
+++ b/src/queries/queries.hpp
@@ -46,17 +46,17 @@
   void update_nodes(std::span<const DiscoveredNode> nodes, bool complete, double now,
                     bool from_discovery = true) {
     policy_->update_nodes(nodes, complete, from_discovery);
-    sites_.list(nodes, complete, now);
+    sites_.update_nodes(nodes, complete, now);
   }
   void remove_node(int node) {
     policy_->remove_node(node);
-    sites_.forget(node);
+    sites_.remove_node(node);
   }
   void on_peer_report(PeerReport report, double now) { policy_->on_peer_report(report, now); }
   void on_node_list_failed(double now) { policy_->on_node_list_failed(now); }
   // Periodic work, every tick_interval(). Returns whether the node list has to be requested now.
   bool tick(double now);
-  Sites& sites() { return sites_; }
+  SiteHealthMonitor& sites() { return sites_; }
   double tick_interval() const { return policy_->tick_interval(); }
   NodeHealth node_health(int node, double now) const { return policy_->node_health(node, now); }
   long long dropped_trace_entries() const { return policy_->dropped_trace_entries(); }
@@ -99,7 +99,7 @@
   void apply_site_shares();
 
   std::unique_ptr<RoutingPolicy> policy_;
-  Sites sites_;
+  SiteHealthMonitor sites_;
   TimerQueue& timers_;
   QueryActions& actions_;
   QueryObserver* observer_ = nullptr;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -46,7 +46,7 @@
   return {operators.log.json, spdlog::level::from_str(operators.log.level), operators.log.queue_bytes};
 }
 
-DepartureLimits departure_limits(const OperatorSettings& operators, const Settings& settings) {
+AnomalyLimits departure_limits(const OperatorSettings& operators, const Settings& settings) {
   const auto& d = operators.departures;
   return {d.slow_latency_ratio,
           d.stall_latency_ratio,
@@ -108,8 +108,10 @@
       std::chrono::duration<double>(std::max(at - now(), 0.0)));
 }
 
-Act act_for(Reason reason) {
-  return reason == Reason::first_call ? Act::first : reason == Reason::copy ? Act::copy : Act::resent;
+RouterAction act_for(Reason reason) {
+  return reason == Reason::first_call ? RouterAction::first
+         : reason == Reason::copy     ? RouterAction::copy
+                                      : RouterAction::resent;
 }
 
 const char* name(Router::Phase phase) {
@@ -158,14 +160,14 @@
   signals_.add(SIGHUP);
   await_signal();
   log_.configure(log_form(config_.operator_settings));
-  version_reporter_.on_version_change = [this](Subject subject) {
+  version_reporter_.on_version_change = [this](VersionedInput subject) {
     if (recorder_)
       recorder_->version(subject, version_reporter_.versions().version(subject),
-                         version_reporter_.versions().number(), now());
+                         version_reporter_.versions().open_interval_number(), now());
   };
   apply_operators(config_.operator_settings);
-  version_reporter_.set_file_version(Subject::configuration, config_.hash, config_.path, now());
-  version_reporter_.set_file_version(Subject::operators, config_.operator_settings.hash,
+  version_reporter_.set_file_version(VersionedInput::configuration, config_.hash, config_.path, now());
+  version_reporter_.set_file_version(VersionedInput::operators, config_.operator_settings.hash,
                                      config_.operators_path, now());
   clients_.open(config_.listen);
   log_.line("phase", "name={} router={} listen={}:{}", name(phase_), config_.name,
@@ -183,7 +185,7 @@
 }
 
 void Router::set_build(std::string_view revision, std::uint64_t decisions_hash) {
-  version_reporter_.set_file_version(Subject::build, decisions_hash, revision, now());
+  version_reporter_.set_file_version(VersionedInput::build, decisions_hash, revision, now());
 }
 
 void Router::await_signal() {
@@ -212,14 +214,14 @@
               loaded.discovery.port(), loaded.discovery != config_.discovery, kept.empty() ? "-" : kept);
     // With a changed entry that can't be applied the old configuration stays in effect: keep its version and
     // report that.
-    version_reporter_.versions().kept(!kept.empty() || !operators_applied, now());
+    version_reporter_.versions().on_file_reloaded(!kept.empty() || !operators_applied, now());
     if (kept.empty())
-      version_reporter_.set_file_version(Subject::configuration, loaded.hash, config_.path, now());
+      version_reporter_.set_file_version(VersionedInput::configuration, loaded.hash, config_.path, now());
     if (loaded.discovery == config_.discovery) return;
     config_.discovery = current_discovery_ = loaded.discovery;
     watch_.switch_to(loaded.discovery);
   } catch (const std::exception& error) {
-    version_reporter_.versions().kept(true, now());
+    version_reporter_.versions().on_file_reloaded(true, now());
     log_.line("reload_failed", "why=\"{}\"", error.what());
   }
 }
@@ -280,8 +282,8 @@
   config_.operator_settings = operators;
   const auto applied_at = now();
   version_reporter_.configure(operators.fleet, server_ != nullptr);
-  queries_.sites().on(sites.enabled);
-  queries_.sites().evacuate(
+  queries_.sites().set_enabled(sites.enabled);
+  queries_.sites().set_evacuation(
       sites.evacuated_site.empty()
           ? std::nullopt
           : std::optional(Evacuation{
@@ -338,7 +340,7 @@
   try {
     const auto loaded = load_operator_settings(config_.operators_path, config_.memory_bytes);
     apply_operators(loaded);
-    version_reporter_.set_file_version(Subject::operators, loaded.hash, config_.operators_path, now());
+    version_reporter_.set_file_version(VersionedInput::operators, loaded.hash, config_.operators_path, now());
     log_.configure(log_form(loaded));
     log_.line("operators_reloaded", "path=\"{}\"", config_.operators_path);
     return true;
@@ -378,11 +380,11 @@
   for (const auto& change : recorder_->tick(at, unix_time_at_zero())) {
     const auto vertical =
         change.vertical == kNone ? "-" : config_.verticals[static_cast<std::size_t>(change.vertical)].c_str();
-    log_.line(change.returned ? "returned" : "departed",
+    log_.line(change.ended ? "returned" : "departed",
               "node={} kind={} vertical={} began={:.3f} evidence={:.4g} usual={:.4g}",
               recorder_->name_of(change.node),
               why_name(What::departed, static_cast<std::uint8_t>(change.kind)), vertical,
-              change.began + unix_at_zero_, change.evidence, change.usual);
+              change.started_at + unix_at_zero_, change.evidence, change.baseline);
   }
   if (const auto every = config_.operator_settings.timeline.load_report_interval;
       every > 0 && at >= next_load_request_at_) {
@@ -392,16 +394,16 @@
 }
 
 void Router::update_sites() {
-  for (const auto& change : queries_.sites().news()) {
+  for (const auto& change : queries_.sites().take_changes()) {
     const auto& site_name = config_.zones[static_cast<std::size_t>(change.site)];
     log_.line(
         "site",
         "name={} state={} before={} lasted={:.3f} nodes={} bad={} refused={} evidence={:.1f} usual={:.2f} "
         "share={:.2f} cold={:d} held_back={:d}",
-        site_name, why_name(What::site, static_cast<std::uint8_t>(change.now)),
-        why_name(What::site, static_cast<std::uint8_t>(change.before)), change.lasted, change.nodes,
-        change.bad, change.refused, change.evidence, change.usual, change.share, change.cold,
-        change.held_back);
+        site_name, why_name(What::site, static_cast<std::uint8_t>(change.current)),
+        why_name(What::site, static_cast<std::uint8_t>(change.previous)), change.previous_seconds,
+        change.node_count, change.failing_nodes, change.refused_nodes, change.evidence,
+        change.baseline_failure_share, change.load_share, change.in_slow_start, change.evacuation_held_back);
     if (recorder_) recorder_->site(site_name, change);
   }
 }
@@ -411,15 +413,15 @@
 void Router::update_version_reporter(double at) {
   auto lost = false;
   for (std::size_t site = 0; site < zones_.size(); ++site) {
-    const auto belief = queries_.sites().belief(static_cast<int>(site));
-    lost = lost || belief == SiteBelief::lost || belief == SiteBelief::cut_off;
+    const auto belief = queries_.sites().health(static_cast<int>(site));
+    lost = lost || belief == SiteHealth::lost || belief == SiteHealth::cut_off;
   }
   nodes_in_lost_sites_.clear();
   if (lost)
     for (const auto& member : members_.list().members) {
       const auto node = node_numbers_.find(member.id);
-      const auto belief = queries_.sites().belief(find_index(zones_, member.zone));
-      if (node == node_numbers_.end() || (belief != SiteBelief::lost && belief != SiteBelief::cut_off))
+      const auto belief = queries_.sites().health(find_index(zones_, member.zone));
+      if (node == node_numbers_.end() || (belief != SiteHealth::lost && belief != SiteHealth::cut_off))
         continue;
       nodes_in_lost_sites_.resize(
           std::max(nodes_in_lost_sites_.size(), static_cast<std::size_t>(node->second) + 1));
@@ -428,17 +430,18 @@
   version_reporter_.tick(phase_ == Phase::draining, lost, nodes_in_lost_sites_, at);
   if (!recorder_ || at < next_version_events_at_) return;
   next_version_events_at_ = at + kVersionEventIntervalSeconds;
-  for (std::size_t i = 0; i < kSubjects; ++i)
-    if (const auto subject = static_cast<Subject>(i); version_reporter_.versions().version(subject).epoch > 0)
+  for (std::size_t i = 0; i < kVersionedInputCount; ++i)
+    if (const auto subject = static_cast<VersionedInput>(i);
+        version_reporter_.versions().version(subject).epoch > 0)
       recorder_->version(subject, version_reporter_.versions().version(subject),
-                         version_reporter_.versions().number(), at);
+                         version_reporter_.versions().open_interval_number(), at);
 }
 
 void Router::on_call_ended(int vertical, const Call& call) {
   auto& versions = version_reporter_.versions();
   if (call.outcome == Outcome::unsent || call.outcome == Outcome::unreachable)
-    versions.unsent(vertical, call.node);
-  versions.ended(call.node, call.outcome, now());
+    versions.record_unsent(vertical, call.node);
+  versions.on_call_ended(call.node, call.outcome, now());
 }
 
 void Router::connection_opened(int node, double took) {
@@ -659,7 +662,8 @@
   auto& query_state = pending_queries_.at(query);
   ++query_state.call_count;
   ++pending_calls_;
-  version_reporter_.versions().sent(query_state.vertical, act_for(send.explanation.reason), send.node, now());
+  version_reporter_.versions().record_sent(query_state.vertical, act_for(send.explanation.reason), send.node,
+                                           now());
   const auto leaf = static_cast<std::size_t>(send.leaf);
   const auto& part = query_state.parts[leaf];
   std::string options;
@@ -682,7 +686,8 @@
     return;
   }
   ++counters_.merged;
-  version_reporter_.versions().answered(query_state.vertical, whole ? Act::whole : Act::part);
+  version_reporter_.versions().record_query_end(query_state.vertical,
+                                                whole ? RouterAction::whole : RouterAction::part);
   std::vector<PartResult> results;
   for (std::size_t i = static_cast<std::size_t>(
            query_state.second_step_begin < kNoSecondStep ? query_state.second_step_begin : 0);
@@ -694,14 +699,14 @@
 
 void Router::reject(long long query, double stay_away, const Explanation& why) {
   ++counters_.rejected;
-  version_reporter_.versions().answered(pending_queries_.at(query).vertical, Act::rejected);
+  version_reporter_.versions().record_query_end(pending_queries_.at(query).vertical, RouterAction::rejected);
   log_outcome("rejected", query, why);
   send_answer(query, 503, "rejected", stay_away);
 }
 
 void Router::abort(long long query, const Explanation& why) {
   ++counters_.aborted;
-  version_reporter_.versions().answered(pending_queries_.at(query).vertical, Act::aborted);
+  version_reporter_.versions().record_query_end(pending_queries_.at(query).vertical, RouterAction::aborted);
   log_outcome("aborted", query, why);
   send_answer(query, 500, "aborted");
 }
@@ -840,13 +845,13 @@
 }
 
 void Router::watch_lost() {
-  version_reporter_.versions().watch_lost(now());
+  version_reporter_.versions().on_watch_lost(now());
   queries_.on_node_list_failed(now());
 }
 
 void Router::watch_data_received() {
   node_ages_.record_discovery_contact(now());
-  version_reporter_.versions().heard(now());
+  version_reporter_.versions().on_watch_data(now());
 }
 
 // Called for a change that is ignored, as its count is not above the current one. An equal count is a repeat.
@@ -856,7 +861,7 @@
 void Router::stale_list_received(const MemberList& list) {
   if (list.members.empty() || list.version >= members_.list().version) return;
   const auto at = now();
-  version_reporter_.versions().passed_over(list.version, at);
+  version_reporter_.versions().on_stale_list(list.version, at);
   if (at < next_full_list_request_at_) return;
   next_full_list_request_at_ = at + kMinFullListIntervalSeconds;
   log_.line("list_again", "count={} held={}", list.version, members_.list().version);
@@ -864,7 +869,7 @@
 }
 
 void Router::list_unusable() {
-  version_reporter_.versions().unusable(now());
+  version_reporter_.versions().on_unusable_list(now());
 }
 
 }  // namespace yoketurn
--- a/src/router/version_reporter.cpp
+++ b/src/router/version_reporter.cpp
@@ -51,68 +51,73 @@
       log_(log),
       callbacks_(std::move(callbacks)),
       versions_({}, static_cast<int>(identity_.verticals.size()), now),
-      service_({}, identity_.router, seed) {}
+      participation_({}, identity_.router, seed) {}
 
 void VersionReporter::configure(const OperatorSettings::FleetSettings& fleet, bool has_readers) {
   const auto intervals =
       has_readers ? static_cast<std::size_t>(fleet.max_version_intervals) : kIntervalsWithoutReaders;
-  versions_.bound({intervals, intervals * kMeanNodesPerInterval});
-  service_.limit({fleet.act_without_orders, fleet.step_aside_share, fleet.max_order_duration});
+  versions_.set_limits({intervals, intervals * kMeanNodesPerInterval});
+  participation_.set_limits({fleet.act_without_orders, fleet.step_aside_share, fleet.max_order_duration});
   if (orders_folder_ != fleet.orders_folder) last_order_file_.clear();
   orders_folder_ = fleet.orders_folder;
 }
 
-void VersionReporter::set_file_version(Subject subject, std::uint64_t hash, std::string_view source,
+void VersionReporter::set_file_version(VersionedInput subject, std::uint64_t hash, std::string_view source,
                                        double now) {
-  report_version(versions_.file(subject, hash, source, now), subject);
+  report_version(versions_.apply_file(subject, hash, source, now), subject);
 }
 
 void VersionReporter::set_list(const MemberList& whole, bool full, const std::string& source, double now) {
-  report_version(versions_.list(whole.version, content_hash(whole.members), source, full, now, now),
-                 Subject::list);
+  report_version(versions_.apply_list(whole.version, content_hash(whole.members), source, full, now, now),
+                 VersionedInput::list);
 }
 
-void VersionReporter::report_version(bool changed, Subject subject) {
+void VersionReporter::report_version(bool changed, VersionedInput subject) {
   if (!changed) return;
-  if (!versions_.closed().empty()) log_interval(versions_.closed().back());
+  if (!versions_.closed_intervals().empty()) log_interval(versions_.closed_intervals().back());
   const auto& version = versions_.version(subject);
-  log_.line("version",
-            "router={} site={} began={:.6f} subject={} epoch={} count={} hash={} source={} interval={}",
-            identity_.router, identity_.site.empty() ? "-" : identity_.site,
-            versions_.began() + unix_at_zero_, name(subject), version.epoch, version.count, hex(version.hash),
-            version.source.empty() ? "-" : version.source, versions_.number());
+  log_.line(
+      "version", "router={} site={} began={:.6f} subject={} epoch={} count={} hash={} source={} interval={}",
+      identity_.router, identity_.site.empty() ? "-" : identity_.site, versions_.started_at() + unix_at_zero_,
+      name(subject), version.epoch, version.count, hex(version.hash),
+      version.source.empty() ? "-" : version.source, versions_.open_interval_number());
   if (on_version_change) on_version_change(subject);
 }
 
 // Logs what was done under the versions that have just been replaced.
 void VersionReporter::log_interval(const Interval& interval) {
-  const auto sums = interval.sums();
+  const auto sums = interval.total_actions();
   if (std::all_of(sums.begin(), sums.end(), [](auto sum) { return sum == 0; })) return;
-  const auto of = [&](Subject subject) { return interval.by[static_cast<std::size_t>(subject)]; };
-  const auto sum = [&](Act act) { return sums[static_cast<std::size_t>(act)]; };
+  const auto of = [&](VersionedInput subject) {
+    return interval.versions[static_cast<std::size_t>(subject)];
+  };
+  const auto sum = [&](RouterAction act) { return sums[static_cast<std::size_t>(act)]; };
   log_.line("acted",
             "router={} began={:.6f} interval={} list={}.{} list_hash={} configuration={} operators={} "
             "build={} from={:.6f} lasted={:.6f} first={} copy={} resent={} unsent={} whole={} part={} "
             "rejected={} aborted={}",
-            identity_.router, versions_.began() + unix_at_zero_, interval.number, of(Subject::list).epoch,
-            of(Subject::list).count, hex(of(Subject::list).hash), hex(of(Subject::configuration).hash),
-            hex(of(Subject::operators).hash), hex(of(Subject::build).hash), interval.from + unix_at_zero_,
-            interval.to - interval.from, sum(Act::first), sum(Act::copy), sum(Act::resent), sum(Act::unsent),
-            sum(Act::whole), sum(Act::part), sum(Act::rejected), sum(Act::aborted));
+            identity_.router, versions_.started_at() + unix_at_zero_, interval.number,
+            of(VersionedInput::list).epoch, of(VersionedInput::list).count,
+            hex(of(VersionedInput::list).hash), hex(of(VersionedInput::configuration).hash),
+            hex(of(VersionedInput::operators).hash), hex(of(VersionedInput::build).hash),
+            interval.started_at + unix_at_zero_, interval.ended_at - interval.started_at,
+            sum(RouterAction::first), sum(RouterAction::copy), sum(RouterAction::resent),
+            sum(RouterAction::unsent), sum(RouterAction::whole), sum(RouterAction::part),
+            sum(RouterAction::rejected), sum(RouterAction::aborted));
 }
 
 void VersionReporter::log_suspicions(double now) {
-  std::array<double, kDoubts> since{};
-  for (const auto& doubt : versions_.doubts()) {
+  std::array<double, kStalenessKindCount> since{};
+  for (const auto& doubt : versions_.suspicions()) {
     const auto i = static_cast<std::size_t>(doubt.kind);
     since[i] = doubt.since;
     if (logged_suspicion_since_[i] != doubt.since)
       log_.line("doubt", "kind={} since={:.3f} evidence={:.4g} list={}", name(doubt.kind),
-                doubt.since + unix_at_zero_, doubt.evidence, versions_.version(Subject::list).count);
+                doubt.since + unix_at_zero_, doubt.evidence, versions_.version(VersionedInput::list).count);
   }
-  for (std::size_t i = 0; i < kDoubts; ++i)
+  for (std::size_t i = 0; i < kStalenessKindCount; ++i)
     if (since[i] == 0 && logged_suspicion_since_[i] != 0)
-      log_.line("doubt_over", "kind={} lasted={:.3f}", name(static_cast<Doubt>(i)),
+      log_.line("doubt_over", "kind={} lasted={:.3f}", name(static_cast<StalenessKind>(i)),
                 now - logged_suspicion_since_[i]);
   logged_suspicion_since_ = since;
 }
@@ -121,16 +126,17 @@
                            double now) {
   versions_.tick(now, nodes_in_lost_sites);
   log_suspicions(now);
-  state_ = {site_lost, draining, versions_.doubted_since()};
+  state_ = {site_lost, draining, versions_.suspected_since()};
   poll_orders(now);
-  for (const auto step : service_.tick(state_, now)) {
+  for (const auto step : participation_.tick(state_, now)) {
     log_.line("step", "what={} by=itself", name(step));
     perform(step);
   }
-  if (service_.taking() != logged_taking_) {
-    logged_taking_ = service_.taking();
-    log_.line("taking", "state={} why=\"{}\" term={} number={}", name(logged_taking_), service_.why(),
-              service_.last().term, service_.last().number);
+  if (participation_.participation() != logged_taking_) {
+    logged_taking_ = participation_.participation();
+    log_.line("taking", "state={} why=\"{}\" term={} number={}", name(logged_taking_),
+              participation_.state_reason(), participation_.last_order().term,
+              participation_.last_order().number);
   }
 }
 
@@ -152,7 +158,7 @@
     std::ifstream file(path);
     std::stringstream content;
     content << file.rdbuf();
-    apply_order(read_order(content.str()), now);
+    apply_order(parse_order(content.str()), now);
   } catch (const std::exception& error) {
     last_verdict_ = "unreadable";
     log_.line("order_refused", "why=unreadable what=\"{}\"", error.what());
@@ -160,27 +166,28 @@
 }
 
 void VersionReporter::apply_order(const Order& order, double now) {
-  const auto verdict = service_.order(order, state_, WallTime::now(), now);
-  if (verdict == Verdict::known) return;
+  const auto verdict = participation_.apply_order(order, state_, WallTime::now(), now);
+  if (verdict == OrderVerdict::known) return;
   last_verdict_ = name(verdict);
-  if (verdict != Verdict::taken) {
+  if (verdict != OrderVerdict::taken) {
     log_.line("order_refused", "why={} term={} number={} step={} router={}", name(verdict), order.term,
               order.number, name(order.step), order.router);
     return;
   }
   log_.line("order", "term={} number={} step={} until={:.0f} why=\"{}\"", order.term, order.number,
-            name(order.step), order.until, order.why);
+            name(order.step), order.expires_at, order.reason);
   perform(order.step);
 }
 
-void VersionReporter::perform(Step step) {
+void VersionReporter::perform(OrderStep step) {
   switch (step) {
-    case Step::ask_again:
+    case OrderStep::ask_again:
       return callbacks_.request_full_list();
-    case Step::read_again:
+    case OrderStep::read_again:
       return callbacks_.reload();
-    case Step::follow:
-      if (const auto at = parse_endpoint(service_.last().agent)) callbacks_.follow_discovery(*at);
+    case OrderStep::follow:
+      if (const auto at = parse_endpoint(participation_.last_order().discovery_agent))
+        callbacks_.follow_discovery(*at);
       return;
     default:  // the service keeps the state of the other steps
       return;
@@ -192,31 +199,31 @@
           unix_at_zero_};
 }
 
-Stand VersionReporter::status(double now) const {
-  Stand s;
+VersionReport VersionReporter::status(double now) const {
+  VersionReport s;
   s.router = identity_.router;
   s.site = identity_.site;
-  s.unix = now + unix_at_zero_;
-  s.began = versions_.began() + unix_at_zero_;
+  s.unix_time = now + unix_at_zero_;
+  s.process_started_at = versions_.started_at() + unix_at_zero_;
   s.serving = serving_;
-  s.taking = service_.taking();
-  s.taking_since = service_.since() > 0 ? service_.since() + unix_at_zero_ : 0;
-  s.taking_why = service_.why();
-  s.term = service_.last().term;
-  s.number = service_.last().number;
-  s.verdict = last_verdict_;
+  s.participation = participation_.participation();
+  s.participation_since = participation_.state_since() > 0 ? participation_.state_since() + unix_at_zero_ : 0;
+  s.participation_reason = participation_.state_reason();
+  s.order_term = participation_.last_order().term;
+  s.order_number = participation_.last_order().number;
+  s.order_verdict = last_verdict_;
   s.site_lost = state_.site_lost;
-  for (std::size_t i = 0; i < kSubjects; ++i) {
-    s.by[i] = versions_.version(static_cast<Subject>(i));
-    s.by[i].told += unix_at_zero_;
-    s.by[i].acted += unix_at_zero_;
+  for (std::size_t i = 0; i < kVersionedInputCount; ++i) {
+    s.versions[i] = versions_.version(static_cast<VersionedInput>(i));
+    s.versions[i].received_at += unix_at_zero_;
+    s.versions[i].applied_at += unix_at_zero_;
   }
-  for (const auto& d : versions_.doubts())
-    s.doubts.push_back({std::string(name(d.kind)), d.since + unix_at_zero_, d.evidence,
-                        std::string(versions_.name_of(d.node))});
-  s.oldest = versions_.oldest();
-  s.open = versions_.number();
-  s.gap_until = versions_.gap_until() > 0 ? versions_.gap_until() + unix_at_zero_ : 0;
+  for (const auto& d : versions_.suspicions())
+    s.suspicions.push_back({std::string(name(d.kind)), d.since + unix_at_zero_, d.evidence,
+                            std::string(versions_.node_name(d.node))});
+  s.oldest_interval = versions_.oldest_interval_number();
+  s.open_interval = versions_.open_interval_number();
+  s.dropped_until = versions_.dropped_until() > 0 ? versions_.dropped_until() + unix_at_zero_ : 0;
   return s;
 }
 
--- a/src/router/version_reporter.hpp
+++ b/src/router/version_reporter.hpp
@@ -41,46 +41,46 @@
 
   // has_readers: whether anything can read the intervals; without readers only a few are kept.
   void configure(const OperatorSettings::FleetSettings& fleet, bool has_readers);
-  void set_file_version(Subject subject, std::uint64_t hash, std::string_view source, double now);
+  void set_file_version(VersionedInput subject, std::uint64_t hash, std::string_view source, double now);
   // full: discovery sent the whole list, not a change to it.
   void set_list(const MemberList& whole, bool full, const std::string& source, double now);
-  void set_member(int node, const Member& member) { versions_.listed(node, member.id, member.up); }
+  void set_member(int node, const Member& member) { versions_.set_node(node, member.id, member.up); }
   // nodes_in_lost_sites: by node number.
   void tick(bool draining, bool site_lost, const std::vector<bool>& nodes_in_lost_sites, double now);
 
-  Versions& versions() { return versions_; }
-  bool healthy() const { return service_.healthy(); }
-  bool rejects_new_query(double now) { return service_.bars(now); }
+  VersionTracker& versions() { return versions_; }
+  bool healthy() const { return participation_.healthy(); }
+  bool rejects_new_query(double now) { return participation_.rejects_new_query(now); }
   void set_serving(bool serving) { serving_ = serving; }
 
   // For readers: the current status, then the intervals from a given number on.
   VersionsView view() const;
   // Called on each change of a version.
-  std::function<void(Subject)> on_version_change;
+  std::function<void(VersionedInput)> on_version_change;
 
  private:
   void poll_orders(double now);
   void apply_order(const Order& order, double now);
-  void perform(Step step);
+  void perform(OrderStep step);
   void log_interval(const Interval& interval);
   void log_suspicions(double now);
-  void report_version(bool changed, Subject subject);
-  Stand status(double now) const;
+  void report_version(bool changed, VersionedInput subject);
+  VersionReport status(double now) const;
 
   RouterIdentity identity_;
   double unix_at_zero_;
   Log& log_;
   Callbacks callbacks_;
-  Versions versions_;
-  Service service_;
-  Service::State state_;
+  VersionTracker versions_;
+  ParticipationController participation_;
+  ParticipationController::RouterState state_;
   bool serving_ = false;
   std::string orders_folder_;
   double next_poll_at_ = 0;
   std::string last_order_file_;  // inode, modification time and size of the order file as last read
   std::string last_verdict_;
-  Taking logged_taking_ = Taking::in;
-  std::array<double, kDoubts> logged_suspicion_since_{};  // 0: none logged, or its end is logged
+  Participation logged_taking_ = Participation::in;
+  std::array<double, kStalenessKindCount> logged_suspicion_since_{};  // 0: none logged, or its end is logged
 };
 
 }  // namespace yoketurn
