--- a/src/policy/adaptive_routing_policy.cpp
+++ b/src/policy/adaptive_routing_policy.cpp
@@ -62,36 +62,38 @@
   double standstill = 0;   // how long the router stood still before this round; 0: it didn't
   DecisionTrace trace;
 
-  State(const Settings& s, std::uint64_t seed, double now);
-  VerticalState& vertical_state(const Query& q) { return verticals.state_of(q); }
+  State(const Settings& policy_settings, std::uint64_t seed, double now);
+  VerticalState& vertical_state(const Query& query) { return verticals.state_of(query); }
   Node& node_at(int node) { return nodes.at(node); }
-  bool is_repeatable(const Query& q) const { return verticals.settings_of(q).effect == Effect::repeatable; }
-  bool may_copy(const Query& q) const { return settings.may_copy && is_repeatable(q); }
+  bool is_repeatable(const Query& query) const {
+    return verticals.settings_of(query).effect == Effect::repeatable;
+  }
+  bool may_copy(const Query& query) const { return settings.may_copy && is_repeatable(query); }
   void detect_standstill(double now);
-  Explanation why_not_sendable(const Query& q, const Leaf& leaf, Node& node, double now);
-  double resend_until(const Query& q, const Leaf& leaf);
-  int choose_node(const Query& q, int index, bool has_pending_call, double now, double& best,
+  Explanation why_not_sendable(const Query& query, const Leaf& leaf, Node& node, double now);
+  double resend_until(const Query& query, const Leaf& leaf);
+  int choose_node(const Query& query, int index, bool has_pending_call, double now, double& best,
                   Explanation& explanation);
-  bool is_copy_due(const Query& q, const Leaf& leaf, double now);
-  bool is_presumed_lost(const Query& q, const Leaf& leaf, double now);
-  void send_if_due(const Query& q, int index, Decision& decision, double now);
-  Send record_send(const Query& q, int leaf, int node, Explanation why, double now);
-  Decision evaluate_end(const Query& q, double now);
-  Decision reject_or_abort(const Query& q, Explanation why);
-  void record_outcome(const Query& q, const Leaf& leaf, const Call& call, double now);
+  bool is_copy_due(const Query& query, const Leaf& leaf, double now);
+  bool is_presumed_lost(const Query& query, const Leaf& leaf, double now);
+  void send_if_due(const Query& query, int index, Decision& decision, double now);
+  Send record_send(const Query& query, int leaf, int node, Explanation why, double now);
+  Decision evaluate_end(const Query& query, double now);
+  Decision reject_or_abort(const Query& query, Explanation why);
+  void record_outcome(const Query& query, const Leaf& leaf, const Call& call, double now);
 };
 
-AdaptiveRoutingPolicy::State::State(const Settings& s, std::uint64_t seed, double now)
-    : nodes(s),
-      verticals(s),
-      admission(s, now),
-      relative_work(slo_times(s)),
-      settings(s),
+AdaptiveRoutingPolicy::State::State(const Settings& policy_settings, std::uint64_t seed, double now)
+    : nodes(policy_settings),
+      verticals(policy_settings),
+      admission(policy_settings, now),
+      relative_work(slo_times(policy_settings)),
+      settings(policy_settings),
       random(static_cast<std::uint_fast32_t>(seed ^ (seed >> 32))),
       // One window a little shorter and the other a little longer than the budget's, so that the budget holds
       // in any window.
-      requests_received(s.retry_budget_window - verticals.end_margin),
-      extra_calls(s.retry_budget_window + verticals.end_margin),
+      requests_received(policy_settings.retry_budget_window - verticals.end_margin),
+      extra_calls(policy_settings.retry_budget_window + verticals.end_margin),
       last_tick_at(now),
       request_list_at(now),
       last_called_at(now) {}
@@ -105,15 +107,15 @@
 }
 
 // The check before every send. Returns why the part must not be sent to the node, Reason::none if it may be.
-Explanation AdaptiveRoutingPolicy::State::why_not_sendable(const Query& q, const Leaf& leaf, Node& node,
+Explanation AdaptiveRoutingPolicy::State::why_not_sendable(const Query& query, const Leaf& leaf, Node& node,
                                                            double now) {
-  if (q.ended || leaf.answered || now >= verticals.final_deadline(q))
+  if (query.ended || leaf.answered || now >= verticals.final_deadline(query))
     return explain(Reason::deadline_passed);  // rule 1
   if (leaf.attempts() >= settings.max_calls) return explain(Reason::max_calls_reached, settings.max_calls);
-  if (now >= resend_until(q, leaf)) return explain(Reason::may_have_run);  // rule 2
-  if (!node.up) return explain(Reason::unavailable);                       // rule 3
+  if (now >= resend_until(query, leaf)) return explain(Reason::may_have_run);  // rule 2
+  if (!node.up) return explain(Reason::unavailable);                           // rule 3
   if (nodes.slow_start.applies_to(node, now) &&
-      !nodes.slow_start.allows(node, relative_work.estimate(q.vertical), now, random))  // rule 4
+      !nodes.slow_start.allows(node, relative_work.estimate(query.vertical), now, random))  // rule 4
     return explain(Reason::slow_start, node.recent_work.recent(now),
                    nodes.slow_start.router_limit(node, now));
   if (leaf.attempts() > 0 && settings.retry_budget_window > 0) {  // rule 6
@@ -126,22 +128,22 @@
 }
 
 // Rule 2: the time until which a part may be sent or sent again.
-double AdaptiveRoutingPolicy::State::resend_until(const Query& q, const Leaf& leaf) {
-  const auto& v = verticals.settings_of(q);
-  if (v.effect == Effect::repeatable) return kNever;
+double AdaptiveRoutingPolicy::State::resend_until(const Query& query, const Leaf& leaf) {
+  const auto& vertical = verticals.settings_of(query);
+  if (vertical.effect == Effect::repeatable) return kNever;
   const auto first = std::find_if(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
   if (first == leaf.calls.end()) return kNever;
-  return v.effect == Effect::deduplicated
-             ? first->sent_at + v.dedup_window - verticals.end_margin - kMaxSendStallSeconds
+  return vertical.effect == Effect::deduplicated
+             ? first->sent_at + vertical.dedup_window - verticals.end_margin - kMaxSendStallSeconds
              : 0;
 }
 
 // Chooses the node for a part. Returns kNone and the reason in `explanation` if there is none. `best` is the
 // score of the chosen node. has_pending_call: only nodes that the part hasn't been sent to are considered;
 // otherwise those it has been sent to come second.
-int AdaptiveRoutingPolicy::State::choose_node(const Query& q, int index, bool has_pending_call, double now,
-                                              double& best, Explanation& explanation) {
-  const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
+int AdaptiveRoutingPolicy::State::choose_node(const Query& query, int index, bool has_pending_call,
+                                              double now, double& best, Explanation& explanation) {
+  const auto& leaf = query.leaves[static_cast<std::size_t>(index)];
   int chosen = kNone;
   double second_best = kNever;
   best = kNever;
@@ -157,7 +159,7 @@
     const auto paused_until =
         leaf.calls.empty()
             ? kNever
-            : leaf.calls.back().sent_at + std::max(vertical_state(q).hedge_delay, kMinRetryDelaySeconds);
+            : leaf.calls.back().sent_at + std::max(vertical_state(query).hedge_delay, kMinRetryDelaySeconds);
     if (revisit && now < paused_until) {
       if (!leaf.calls.empty() && explanation.reason == Reason::no_node_left)
         explanation = explain(Reason::retry_delayed, paused_until - now);
@@ -168,13 +170,14 @@
       const auto in_other_pass = tried(i) != revisit;
       if (in_other_pass && revisit) return false;
       const auto blocked =
-          in_other_pass ? explain(Reason::already_tried) : why_not_sendable(q, leaf, node, now);
+          in_other_pass ? explain(Reason::already_tried) : why_not_sendable(query, leaf, node, now);
       const auto concerns_node =
           in_other_pass || blocked.reason == Reason::unavailable || blocked.reason == Reason::slow_start;
       if (concerns_node) trace.add(index, i, blocked);
       if (!concerns_node && blocked.reason != Reason::none) explanation = blocked;
       if (blocked.reason != Reason::none) return false;
-      const auto site_factor = nodes.site_score_factor(node, leaf.calls.empty() && is_repeatable(q), random);
+      const auto site_factor =
+          nodes.site_score_factor(node, leaf.calls.empty() && is_repeatable(query), random);
       if (site_factor <= 0)
         return trace.add(index, i, explain(Reason::site_avoided, now - nodes.site_share(node)->lost_at)),
                false;
@@ -201,20 +204,21 @@
       return false;
     });
   }
-  if (chosen != kNone) explanation = explain(Reason::none, best, second_best, vertical_state(q).hedge_delay);
+  if (chosen != kNone)
+    explanation = explain(Reason::none, best, second_best, vertical_state(query).hedge_delay);
   trace.set_chosen(trace_start, chosen, best);
   return chosen;
 }
 
-bool AdaptiveRoutingPolicy::State::is_copy_due(const Query& q, const Leaf& leaf, double now) {
-  return may_copy(q) && leaf.calls.size() == 1 && leaf.calls[0].pending() &&
-         now >= verticals.copy_at(q, leaf) - 1e-6 && now < verticals.slo_deadline(q);
+bool AdaptiveRoutingPolicy::State::is_copy_due(const Query& query, const Leaf& leaf, double now) {
+  return may_copy(query) && leaf.calls.size() == 1 && leaf.calls[0].pending() &&
+         now >= verticals.copy_at(query, leaf) - 1e-6 && now < verticals.slo_deadline(query);
 }
 
 // A part is sent again if each of its pending calls was sent to a site before the loss of the site, or is
 // older than lost_after at a node that has answered later parts or is suspect and silent. By age alone heavy
 // parts would be sent again.
-bool AdaptiveRoutingPolicy::State::is_presumed_lost(const Query& q, const Leaf& leaf, double now) {
+bool AdaptiveRoutingPolicy::State::is_presumed_lost(const Query& query, const Leaf& leaf, double now) {
   return settings.may_cancel && settings.may_copy &&
          std::all_of(leaf.calls.begin(), leaf.calls.end(), [&](const Call& call) {
            const auto& node = node_at(call.node);
@@ -222,33 +226,34 @@
                   (nodes.is_site_lost(node) && call.sent_at <= nodes.site_share(node)->lost_at) ||
                   ((nodes.is_overtaken(node, call.sent_at, now) ||
                     (node.suspect && node.last_answer_at < call.sent_at)) &&
-                   now >= call.sent_at + vertical_state(q).lost_after + verticals.excess_work(leaf));
+                   now >= call.sent_at + vertical_state(query).lost_after + verticals.excess_work(leaf));
          });
 }
 
 // Sends an unanswered part if a first call, a copy or a retry is due and a node is available.
-void AdaptiveRoutingPolicy::State::send_if_due(const Query& q, int index, Decision& decision, double now) {
-  const auto& leaf = q.leaves[static_cast<std::size_t>(index)];
+void AdaptiveRoutingPolicy::State::send_if_due(const Query& query, int index, Decision& decision,
+                                               double now) {
+  const auto& leaf = query.leaves[static_cast<std::size_t>(index)];
   const auto has_pending_call = leaf.any_pending();
   const auto sent = parts_sent.recent(now);
-  const auto due = is_copy_due(q, leaf, now);
+  const auto due = is_copy_due(query, leaf, now);
   const auto copy = due && copies_sent.recent(now) + 1 <= kMaxCopyShare * sent;
-  const auto resend = has_pending_call && !copy && is_presumed_lost(q, leaf, now);
+  const auto resend = has_pending_call && !copy && is_presumed_lost(query, leaf, now);
   if (has_pending_call && !copy && !resend)
     return trace.add(index, kNone,
                      due ? explain(Reason::copy_budget_spent, copies_sent.recent(now), sent)
                          : explain(Reason::within_hedge_delay, now - leaf.calls.back().sent_at,
-                                   vertical_state(q).hedge_delay));
+                                   vertical_state(query).hedge_delay));
   Explanation explanation;
   double best = 0;
-  const auto node = choose_node(q, index, has_pending_call, now, best, explanation);
+  const auto node = choose_node(query, index, has_pending_call, now, best, explanation);
   if (node == kNone) return trace.add(index, kNone, explanation);
   // A copy helps only if the other replica is expected to answer within the hedge delay; if all replicas are
   // slow it just adds load. A lost part is sent where it should take less time than it has waited so far.
   const auto site_lost = resend && nodes.is_site_lost(node_at(leaf.calls.back().node));
   const auto bound = site_lost ? kNever
                      : resend  ? now - leaf.calls.back().sent_at
-                               : vertical_state(q).hedge_delay;
+                               : vertical_state(query).hedge_delay;
   if (has_pending_call && best > bound)
     return trace.add(index, kNone, explain(Reason::no_faster_node, best, bound));
   if (resend) cancel_pending(decision, leaf, index, Reason::presumed_lost, now);
@@ -256,22 +261,22 @@
                        : resend             ? Reason::resent_lost
                        : leaf.calls.empty() ? Reason::first_call
                                             : Reason::resent_failed;
-  decision.sends.push_back(record_send(q, index, node, explanation, now));
+  decision.sends.push_back(record_send(query, index, node, explanation, now));
 }
 
 // Updates the counters and the state of the node for a send.
-Send AdaptiveRoutingPolicy::State::record_send(const Query& q, int leaf_index, int node_index,
+Send AdaptiveRoutingPolicy::State::record_send(const Query& query, int leaf_index, int node_index,
                                                Explanation explanation, double now) {
-  const auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
+  const auto& leaf = query.leaves[static_cast<std::size_t>(leaf_index)];
   auto& node = node_at(node_index);
   nodes.mark_active(node_index);
   if (!nodes.joins_open_batch(node, now)) node.open_batch = next_batch++;
   node.open_batch_at = now;
   ++node.pending_batches[node.open_batch];
   node.pending_sent_at.insert(now);
-  vertical_state(q).pending_parts.insert({now, verticals.usual_step_time(q), node_index});
-  relative_work.record_sent(q.vertical, now);
-  nodes.slow_start.record_sent(node, relative_work.estimate(q.vertical), now);
+  vertical_state(query).pending_parts.insert({now, verticals.usual_step_time(query), node_index});
+  relative_work.record_sent(query.vertical, now);
+  nodes.slow_start.record_sent(node, relative_work.estimate(query.vertical), now);
   if (nodes.is_site_lost(node)) nodes.sites[static_cast<std::size_t>(node.zone)].probe_allowed = false;
   nodes.report_to_peers(node_index, 0);
   if (leaf.attempts() == 0) {
@@ -281,16 +286,16 @@
   if (explanation.reason == Reason::copy) copies_sent.add(now);
   if (leaf.attempts() > 0) extra_calls.add(now);
   return {leaf_index,      node_index,
-          node.open_batch, verticals.call_timeout(q, now),
-          explanation,     resend_until(q, leaf) - now};
+          node.open_batch, verticals.call_timeout(query, now),
+          explanation,     resend_until(query, leaf) - now};
 }
 
-Decision AdaptiveRoutingPolicy::State::reject_or_abort(const Query& q, Explanation explanation) {
+Decision AdaptiveRoutingPolicy::State::reject_or_abort(const Query& query, Explanation explanation) {
   Decision decision;
   // Rule 2: a rejection tells the client that a retry is harmless.
   const auto harmless =
-      verticals.settings_of(q).effect == Effect::repeatable ||
-      std::all_of(q.leaves.begin(), q.leaves.end(), [](const Leaf& leaf) {
+      verticals.settings_of(query).effect == Effect::repeatable ||
+      std::all_of(query.leaves.begin(), query.leaves.end(), [](const Leaf& leaf) {
         return std::none_of(leaf.calls.begin(), leaf.calls.end(), std::mem_fn(&Call::may_have_run));
       });
   decision.query_end = harmless ? QueryEnd::reject : QueryEnd::abort;
@@ -300,64 +305,67 @@
 }
 
 // Whether the query ends now, and how (rule 5).
-Decision AdaptiveRoutingPolicy::State::evaluate_end(const Query& q, double now) {
-  const auto& v = verticals.settings_of(q);
+Decision AdaptiveRoutingPolicy::State::evaluate_end(const Query& query, double now) {
+  const auto& vertical = verticals.settings_of(query);
   double answered_weight[2] = {0, 0};  // by step
   double possible_weight[2] = {0, 0};  // by step: answered or may still be answered
   bool second_step_answered = true;
-  for (const auto& leaf : q.leaves) {
+  for (const auto& leaf : query.leaves) {
     const auto step = leaf.step - 1;
     if (leaf.answered) answered_weight[step] += leaf.weight;
     second_step_answered = second_step_answered && (leaf.answered || leaf.step == 1);
     const auto can_be_sent =
-        leaf.calls.empty() || (leaf.attempts() < settings.max_calls && now < resend_until(q, leaf));
+        leaf.calls.empty() || (leaf.attempts() < settings.max_calls && now < resend_until(query, leaf));
     if (leaf.answered || leaf.any_pending() || can_be_sent) possible_weight[step] += leaf.weight;
   }
-  if (q.parts_expected > 0) possible_weight[q.step - 1] = 1;
+  if (query.parts_expected > 0) possible_weight[query.step - 1] = 1;
   Decision decision;
-  const auto answered_share = answered_weight[q.step - 1], possible_share = possible_weight[q.step - 1];
-  const auto complete = q.step == 1 ? answered_share >= v.complete_share - kWeightRounding
-                                    : second_step_answered && q.parts_expected == 0;
-  const auto mergeable = q.parts_expected == 0 && answered_share >= v.min_merge_share - kWeightRounding &&
-                         (q.step == 1 || v.min_merge_share < v.complete_share || second_step_answered);
+  const auto answered_share = answered_weight[query.step - 1],
+             possible_share = possible_weight[query.step - 1];
+  const auto complete = query.step == 1 ? answered_share >= vertical.complete_share - kWeightRounding
+                                        : second_step_answered && query.parts_expected == 0;
+  const auto mergeable =
+      query.parts_expected == 0 && answered_share >= vertical.min_merge_share - kWeightRounding &&
+      (query.step == 1 || vertical.min_merge_share < vertical.complete_share || second_step_answered);
   if (complete) {
     decision.query_end =
-        q.step == 1 || q.first_step_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial;
+        query.step == 1 || query.first_step_complete ? QueryEnd::merge_complete : QueryEnd::merge_partial;
     decision.explanation = explain(Reason::complete, answered_share);
     return decision;
   }
-  const auto step_share = q.step == 1 ? v.complete_share : 1;
+  const auto step_share = query.step == 1 ? vertical.complete_share : 1;
   const auto nothing_more_possible = possible_share <= answered_share + kWeightRounding;
-  const auto past_slo = now >= verticals.slo_deadline(q);
-  const auto past_deadline = now >= verticals.final_deadline(q);
+  const auto past_slo = now >= verticals.slo_deadline(query);
+  const auto past_deadline = now >= verticals.final_deadline(query);
   if (mergeable && (nothing_more_possible || past_deadline ||
-                    (past_slo && v.partial_utility * answered_share > v.late_utility))) {
+                    (past_slo && vertical.partial_utility * answered_share > vertical.late_utility))) {
     decision.query_end = QueryEnd::merge_partial;
     decision.explanation = explain(Reason::partial, answered_share);
     return decision;
   }
-  const auto required_share = v.min_merge_share < v.complete_share ? v.min_merge_share : step_share;
+  const auto required_share =
+      vertical.min_merge_share < vertical.complete_share ? vertical.min_merge_share : step_share;
   if (possible_share < required_share - kWeightRounding)
-    return reject_or_abort(q, explain(Reason::share_unreachable, answered_share, possible_share));
-  if (past_deadline || (past_slo && v.late_utility <= 0))
-    return reject_or_abort(q, explain(Reason::deadline_passed, answered_share));
+    return reject_or_abort(query, explain(Reason::share_unreachable, answered_share, possible_share));
+  if (past_deadline || (past_slo && vertical.late_utility <= 0))
+    return reject_or_abort(query, explain(Reason::deadline_passed, answered_share));
   return decision;
 }
 
 // Updates the node, its path and its vertical from the outcome of a call.
-void AdaptiveRoutingPolicy::State::record_outcome(const Query& q, const Leaf& leaf, const Call& call,
+void AdaptiveRoutingPolicy::State::record_outcome(const Query& query, const Leaf& leaf, const Call& call,
                                                   double now) {
-  auto& v = vertical_state(q);
+  auto& vertical = vertical_state(query);
   auto& node = node_at(call.node);
   nodes.mark_active(call.node);
-  const auto step_time = verticals.usual_step_time(q);
+  const auto step_time = verticals.usual_step_time(query);
   const auto age = std::max(now - call.sent_at - standstill, 0.0);
   const auto latency = std::max(age - verticals.excess_work(leaf), age / 4);
   if (const auto sent = node.pending_sent_at.find(call.sent_at); sent != node.pending_sent_at.end())
     node.pending_sent_at.erase(sent);
-  if (const auto sent = v.pending_parts.find({call.sent_at, step_time, call.node});
-      sent != v.pending_parts.end())
-    v.pending_parts.erase(sent);
+  if (const auto sent = vertical.pending_parts.find({call.sent_at, step_time, call.node});
+      sent != vertical.pending_parts.end())
+    vertical.pending_parts.erase(sent);
   if (const auto batch = node.pending_batches.find(call.batch);
       batch != node.pending_batches.end() && --batch->second <= 0)
     node.pending_batches.erase(batch);
@@ -376,13 +384,13 @@
   if (success) node.latest_answered_sent_at = std::max(node.latest_answered_sent_at, call.sent_at);
   // A refusal by a full node counts as load although it comes at once: otherwise a fleet that refuses most
   // parts would look idle.
-  if (call.outcome == Outcome::overloaded) v.load_samples.add(now, {1, true});
+  if (call.outcome == Outcome::overloaded) vertical.load_samples.add(now, {1, true});
   // Calls without an answer at a suspect node say something about that node only.
   if (success || (censored && !node.suspect && !nodes.is_site_lost(node))) {
-    v.part_latencies.add(now, {latency, censored});
+    vertical.part_latencies.add(now, {latency, censored});
     if (node.zone != kNone)
       nodes.paths[static_cast<std::size_t>(node.zone)].latencies.add(now, {latency, censored});
-    v.load_samples.add(now, {age / step_time, censored});
+    vertical.load_samples.add(now, {age / step_time, censored});
   }
   if (success) {
     nodes.mean_latency.add(latency);
@@ -397,7 +405,7 @@
   // quickly would look fast and attract all traffic. A cancelled or timed out call took at least its age.
   const auto value = success    ? latency
                      : censored ? std::max(latency, decayed)
-                                : std::max(v.settings.slo_time, decayed);
+                                : std::max(vertical.settings.slo_time, decayed);
   if (!nodes.is_site_lost(node)) nodes.mean_cost.add(value);
   nodes.report_to_peers(call.node, value);
   nodes.record_latency(node, value, success, now);
@@ -407,56 +415,59 @@
     : state_(std::make_unique<State>(settings, seed, now)) {}
 AdaptiveRoutingPolicy::~AdaptiveRoutingPolicy() = default;
 
-Decision AdaptiveRoutingPolicy::route(Query& q, double now) {
-  auto& s = *state_;
-  s.detect_standstill(now);
-  s.trace.entries.clear();
-  if (!q.admitted) s.admission.adjust_received_at(q, s.vertical_state(q), s.standstill, now);
-  auto decision = s.evaluate_end(q, now);
+Decision AdaptiveRoutingPolicy::route(Query& query, double now) {
+  auto& state = *state_;
+  state.detect_standstill(now);
+  state.trace.entries.clear();
+  if (!query.admitted)
+    state.admission.adjust_received_at(query, state.vertical_state(query), state.standstill, now);
+  auto decision = state.evaluate_end(query, now);
   if (decision.query_end == QueryEnd::merge_complete || decision.query_end == QueryEnd::merge_partial ||
-      (decision.query_end != QueryEnd::none && q.admitted)) {
+      (decision.query_end != QueryEnd::none && query.admitted)) {
     const auto unanswered = decision.query_end == QueryEnd::reject || decision.query_end == QueryEnd::abort;
-    if (unanswered || q.step == 2 || s.verticals.step_count(q) == 1)
-      s.vertical_state(q).query_durations.add(now, {now - q.received_at, unanswered});
+    if (unanswered || query.step == 2 || state.verticals.step_count(query) == 1)
+      state.vertical_state(query).query_durations.add(now, {now - query.received_at, unanswered});
   }
-  if (decision.query_end != QueryEnd::none || q.parts_expected > 0) return decision;
-  if (!q.admitted) {
-    const auto refusal = q.forced_rejection != Reason::none
-                             ? explain(q.forced_rejection)
-                             : s.admission.decide_refusal(q, s.verticals, s.nodes, s.random, now);
-    if (refusal.reason != Reason::none) return s.reject_or_abort(q, refusal);
+  if (decision.query_end != QueryEnd::none || query.parts_expected > 0) return decision;
+  if (!query.admitted) {
+    const auto refusal =
+        query.forced_rejection != Reason::none
+            ? explain(query.forced_rejection)
+            : state.admission.decide_refusal(query, state.verticals, state.nodes, state.random, now);
+    if (refusal.reason != Reason::none) return state.reject_or_abort(query, refusal);
   }
-  if (!q.admitted)
-    for (const auto& leaf : q.leaves)
-      if (leaf.work_hint > 0) s.relative_work.record_hint(q.vertical, leaf.work_hint);
-  q.admitted = true;
-  for (std::size_t i = 0; i < q.leaves.size(); ++i)
-    if (!q.leaves[i].answered) s.send_if_due(q, static_cast<int>(i), decision, now);
+  if (!query.admitted)
+    for (const auto& leaf : query.leaves)
+      if (leaf.work_hint > 0) state.relative_work.record_hint(query.vertical, leaf.work_hint);
+  query.admitted = true;
+  for (std::size_t i = 0; i < query.leaves.size(); ++i)
+    if (!query.leaves[i].answered) state.send_if_due(query, static_cast<int>(i), decision, now);
   return decision;
 }
-Decision AdaptiveRoutingPolicy::on_call_ended(Query& q, int leaf_index, int call_index, double now) {
-  auto& s = *state_;
-  s.detect_standstill(now);
-  s.trace.entries.clear();
-  auto& leaf = q.leaves[static_cast<std::size_t>(leaf_index)];
+Decision AdaptiveRoutingPolicy::on_call_ended(Query& query, int leaf_index, int call_index, double now) {
+  auto& state = *state_;
+  state.detect_standstill(now);
+  state.trace.entries.clear();
+  auto& leaf = query.leaves[static_cast<std::size_t>(leaf_index)];
   const auto& call = leaf.calls[static_cast<std::size_t>(call_index)];
-  s.record_outcome(q, leaf, call, now);
+  state.record_outcome(query, leaf, call, now);
   Decision decision;
   if (call.outcome != Outcome::success || leaf.answered) return decision;
   leaf.answered = true;
-  if (s.settings.may_cancel) cancel_pending(decision, leaf, leaf_index, Reason::race_lost, now);
+  if (state.settings.may_cancel) cancel_pending(decision, leaf, leaf_index, Reason::race_lost, now);
   return decision;
 }
-double AdaptiveRoutingPolicy::time_to_next_check(const Query& q, double now) const {
-  auto& s = *state_;
-  auto due = s.verticals.final_deadline(q);
-  if (now < s.verticals.slo_deadline(q)) due = std::min(due, s.verticals.slo_deadline(q));
-  for (const auto& leaf : q.leaves) {
+double AdaptiveRoutingPolicy::time_to_next_check(const Query& query, double now) const {
+  auto& state = *state_;
+  auto due = state.verticals.final_deadline(query);
+  if (now < state.verticals.slo_deadline(query)) due = std::min(due, state.verticals.slo_deadline(query));
+  for (const auto& leaf : query.leaves) {
     if (leaf.answered) continue;
-    const auto copy = leaf.calls.size() == 1 && s.may_copy(q) ? s.verticals.copy_at(q, leaf) : now;
+    const auto copy =
+        leaf.calls.size() == 1 && state.may_copy(query) ? state.verticals.copy_at(query, leaf) : now;
     due = std::min(due, copy > now ? copy
-                                   : now + std::clamp(s.vertical_state(q).hedge_delay, kMinRecheckSeconds,
-                                                      kTickIntervalSeconds));
+                                   : now + std::clamp(state.vertical_state(query).hedge_delay,
+                                                      kMinRecheckSeconds, kTickIntervalSeconds));
   }
   return std::max(due - now, 1e-3);
 }
@@ -479,26 +490,28 @@
       now + kListRetrySeconds * std::uniform_real_distribution<>(0.5, 1.5)(state_->random);
 }
 bool AdaptiveRoutingPolicy::tick(double now) {
-  auto& s = *state_;
-  s.detect_standstill(now);
-  if (s.standstill > 0) return false;
-  s.verticals.update_estimates(now, s.last_tick_at, s.nodes);
+  auto& state = *state_;
+  state.detect_standstill(now);
+  if (state.standstill > 0) return false;
+  state.verticals.update_estimates(now, state.last_tick_at, state.nodes);
   // Under load the latency of answers shows the queueing at the nodes, not the work of the parts.
-  if (s.verticals.load_estimate < kMaxLoadForWorkEstimate)
-    for (std::size_t i = 0; i < s.verticals.all.size(); ++i)
-      if (const auto quick = s.verticals.all[i].quick_latency; quick > 0)
-        s.relative_work.record_quick_latency(static_cast<int>(i), quick);
-  s.nodes.compare_paths(now, s.last_tick_at);
-  s.last_tick_at = now;
-  s.nodes.tick(now);
+  if (state.verticals.load_estimate < kMaxLoadForWorkEstimate)
+    for (std::size_t i = 0; i < state.verticals.all.size(); ++i)
+      if (const auto quick = state.verticals.all[i].quick_latency; quick > 0)
+        state.relative_work.record_quick_latency(static_cast<int>(i), quick);
+  state.nodes.compare_paths(now, state.last_tick_at);
+  state.last_tick_at = now;
+  state.nodes.tick(now);
   // The peak rate decays slowly: while routers refuse queries the nodes answer fewer parts than they could,
   // and by the current rate nodes in slow start would be idle beside full ones.
-  const auto rate =
-      s.nodes.nodes_up > 0 ? s.parts_answered.recent(now) / kLatencyWindowSeconds / s.nodes.nodes_up : 0;
-  s.nodes.slow_start.node_answer_rate = std::max(
-      rate, s.nodes.slow_start.node_answer_rate * std::exp(-kTickIntervalSeconds / kCapacityDecaySeconds));
-  const auto request_list = s.settings.must_request_node_list && now >= s.request_list_at;
-  if (request_list) s.request_list_at = now + kListTimeoutSeconds;
+  const auto rate = state.nodes.nodes_up > 0
+                        ? state.parts_answered.recent(now) / kLatencyWindowSeconds / state.nodes.nodes_up
+                        : 0;
+  state.nodes.slow_start.node_answer_rate =
+      std::max(rate, state.nodes.slow_start.node_answer_rate *
+                         std::exp(-kTickIntervalSeconds / kCapacityDecaySeconds));
+  const auto request_list = state.settings.must_request_node_list && now >= state.request_list_at;
+  if (request_list) state.request_list_at = now + kListTimeoutSeconds;
   return request_list;
 }
 double AdaptiveRoutingPolicy::tick_interval() const {
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -13,57 +13,63 @@
 constexpr double kRetryElapsedShare = 0.7;
 }  // namespace
 
-Admission::Admission(const Settings& s, double now)
-    : over_quota_utility(s.over_quota_utility),
-      utility_by_work(s.utility_by_work),
-      refusal_start_load(s.max_retry_after > 0 ? kRefusalStartLoad : kRefusalStartLoad + kNoRetryAfterSlack) {
-  for (const auto& customer : s.customers)
-    customer_buckets.push_back({customer.quota / s.router_count, customer.quota / s.router_count, now});
+Admission::Admission(const Settings& settings, double now)
+    : over_quota_utility(settings.over_quota_utility),
+      utility_by_work(settings.utility_by_work),
+      refusal_start_load(settings.max_retry_after > 0 ? kRefusalStartLoad
+                                                      : kRefusalStartLoad + kNoRetryAfterSlack) {
+  for (const auto& customer : settings.customers)
+    customer_buckets.push_back(
+        {customer.quota / settings.router_count, customer.quota / settings.router_count, now});
 }
 
 // Estimated from the durations of recent queries.
-double Admission::expected_utility_share(const Query& q, Verticals& verticals, double now) {
-  auto& v = verticals.state_of(q);
-  auto durations = v.query_durations.recent(now);
+double Admission::expected_utility_share(const Query& query, Verticals& verticals, double now) {
+  auto& vertical = verticals.state_of(query);
+  auto durations = vertical.query_durations.recent(now);
   // The SLO time runs from the client's first try. Of that a retry only says that there was one.
-  const auto elapsed = q.client_retry ? kRetryElapsedShare * (q.deadline - q.received_at) : 0;
-  const auto in_time = probability_within(durations, verticals.slo_deadline(q) - elapsed - now);
-  const auto late = std::max(0.0, probability_within(durations, verticals.final_deadline(q) - now) - in_time);
+  const auto elapsed = query.client_retry ? kRetryElapsedShare * (query.deadline - query.received_at) : 0;
+  const auto in_time = probability_within(durations, verticals.slo_deadline(query) - elapsed - now);
+  const auto late =
+      std::max(0.0, probability_within(durations, verticals.final_deadline(query) - now) - in_time);
   const auto count = static_cast<double>(durations.size());
-  return (count * (in_time + v.settings.late_utility * late) + kPriorSuccesses) / (count + kPriorSuccesses);
+  return (count * (in_time + vertical.settings.late_utility * late) + kPriorSuccesses) /
+         (count + kPriorSuccesses);
 }
 
-bool Admission::enough_parts_reachable(const Query& q, const Verticals& verticals, Nodes& nodes, double now) {
+bool Admission::enough_parts_reachable(const Query& query, const Verticals& verticals, Nodes& nodes,
+                                       double now) {
   double reachable = 0;
-  for (const auto& leaf : q.leaves)
+  for (const auto& leaf : query.leaves)
     if (nodes.any_replica(leaf, [&](int i) { return nodes.is_reachable(nodes.at(i), now); }))
       reachable += leaf.weight;
-  return reachable >= verticals.settings_of(q).min_merge_share - kWeightRounding;
+  return reachable >= verticals.settings_of(query).min_merge_share - kWeightRounding;
 }
 
 // While the router stood still the query's time passed: the less time it has left compared with other queries
 // of its vertical, the earlier it was sent.
-void Admission::adjust_received_at(Query& q, VerticalState& v, double standstill, double now) {
-  const auto left = q.deadline - now;
+void Admission::adjust_received_at(Query& query, VerticalState& vertical, double standstill, double now) {
+  const auto left = query.deadline - now;
   if (standstill > 0) {
-    q.received_at = now - std::clamp(v.client_time_limit - left, 0.0, standstill);
-  } else if (!q.client_retry) {
-    v.client_time_limit =
-        std::max(left, v.client_time_limit + kMeanSampleWeight * (left - v.client_time_limit));
+    query.received_at = now - std::clamp(vertical.client_time_limit - left, 0.0, standstill);
+  } else if (!query.client_retry) {
+    vertical.client_time_limit =
+        std::max(left, vertical.client_time_limit + kMeanSampleWeight * (left - vertical.client_time_limit));
   }
 }
 
-Explanation Admission::decide_refusal(const Query& q, Verticals& verticals, Nodes& nodes,
+Explanation Admission::decide_refusal(const Query& query, Verticals& verticals, Nodes& nodes,
                                       std::ranlux24_base& random, double now) {
-  auto& v = verticals.state_of(q);
+  auto& vertical = verticals.state_of(query);
   const auto& mean_part_work = verticals.mean_part_work;
-  double work = q.work_hint;
-  if (work <= 0) work = (mean_part_work > 0 ? mean_part_work : 1.0) * static_cast<double>(q.leaves.size());
-  v.mean_query_work.add(work);
-  verticals.mean_query_parts.add(static_cast<double>(q.leaves.size()));
-  auto density = v.settings.utility / (utility_by_work ? v.mean_query_work : work);
-  if (q.customer != kNone) {
-    auto& bucket = customer_buckets[static_cast<std::size_t>(q.customer)];
+  double work = query.work_hint;
+  if (work <= 0)
+    work = (mean_part_work > 0 ? mean_part_work : 1.0) * static_cast<double>(query.leaves.size());
+  vertical.mean_query_work.add(work);
+  verticals.mean_query_parts.add(static_cast<double>(query.leaves.size()));
+  auto density = vertical.settings.utility / (utility_by_work ? vertical.mean_query_work : work);
+  if (query.customer != kNone) {
+    auto& bucket = customer_buckets[static_cast<std::size_t>(query.customer)];
     bucket.tokens = std::min(bucket.tokens + (now - bucket.refilled_at) * bucket.tokens_per_second,
                              bucket.tokens_per_second);
     bucket.refilled_at = now;
@@ -71,18 +77,18 @@
     if (bucket.tokens >= 1) --bucket.tokens;
   }
   // A query that is unlikely to be answered in its time wastes work, and its client sends it again.
-  const auto reachable = enough_parts_reachable(q, verticals, nodes, now);
-  const auto expected_utility = reachable ? expected_utility_share(q, verticals, now) : 0;
+  const auto reachable = enough_parts_reachable(query, verticals, nodes, now);
+  const auto expected_utility = reachable ? expected_utility_share(query, verticals, now) : 0;
   density *= expected_utility;
   mean_utility_density.add(density);
   // By Little's law latency grows with the number of pending parts. Answers only show the load of queries
   // sent before a burst: by them alone the burst would be admitted.
-  const auto parts = static_cast<double>(q.leaves.size());
+  const auto parts = static_cast<double>(query.leaves.size());
   const auto usual_pending =
       std::max({verticals.typical_pending, parts, nodes.nodes_up});  // a part for each node is no load
   const auto predicted_load = verticals.load_estimate *
                               std::max(1.0, (verticals.recent_pending(now) + parts) / usual_pending) *
-                              verticals.usual_step_time(q) / verticals.step_time(q);
+                              verticals.usual_step_time(query) / verticals.step_time(query);
   const auto base_chance =
       std::clamp((predicted_load - refusal_start_load) / kRefusalLoadRange, 0.0, kMaxRefusalChance);
   const auto refusal_chance =
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -14,7 +14,7 @@
 };
 
 struct Admission {
-  Admission(const Settings& s, double now);
+  Admission(const Settings& settings, double now);
 
   std::vector<TokenBucket> customer_buckets;
   double over_quota_utility;
@@ -24,15 +24,16 @@
 
   // Sets back the receive time of a query that waited while the router stood still. standstill: how long, in
   // seconds.
-  static void adjust_received_at(Query& q, VerticalState& v, double standstill, double now);
+  static void adjust_received_at(Query& query, VerticalState& vertical, double standstill, double now);
   // The share of its utility that a query can be expected to earn in its time.
-  static double expected_utility_share(const Query& q, Verticals& verticals, double now);
+  static double expected_utility_share(const Query& query, Verticals& verticals, double now);
   // Whether enough parts of the query have a reachable replica to be merged. If not, the work of the others
   // would be wasted.
-  static bool enough_parts_reachable(const Query& q, const Verticals& verticals, Nodes& nodes, double now);
+  static bool enough_parts_reachable(const Query& query, const Verticals& verticals, Nodes& nodes,
+                                     double now);
   // Refuses queries at random when the nodes are overloaded, the less utility for its work the more likely.
   // Reason::none: the query is admitted.
-  Explanation decide_refusal(const Query& q, Verticals& verticals, Nodes& nodes, std::ranlux24_base& random,
-                             double now);
+  Explanation decide_refusal(const Query& query, Verticals& verticals, Nodes& nodes,
+                             std::ranlux24_base& random, double now);
 };
 }  // namespace yoketurn::policy
--- a/src/policy/nodes.cpp
+++ b/src/policy/nodes.cpp
@@ -39,12 +39,12 @@
 }
 }  // namespace
 
-SlowStart::SlowStart(const Settings& s)
-    : duration(s.slow_start_time),
-      start_capacity(s.start_capacity),
-      overload_ratio(s.overload_multiple / kBusyShare),
-      overload_time(s.overload_time),
-      router_count(std::max(s.router_count, 1)) {}
+SlowStart::SlowStart(const Settings& settings)
+    : duration(settings.slow_start_time),
+      start_capacity(settings.start_capacity),
+      overload_ratio(settings.overload_multiple / kBusyShare),
+      overload_time(settings.overload_time),
+      router_count(std::max(settings.router_count, 1)) {}
 
 double SlowStart::capacity_share(const Node& node, double now) const {
   return applies_to(node, now)
@@ -102,14 +102,14 @@
   node.tokens = std::max(node.tokens - used, 0.0);
 }
 
-Nodes::Nodes(const Settings& s)
-    : slow_start(s),
-      zone(s.zone),
-      max_parts_per_call(s.max_parts_per_call),
-      cell_count(s.cell_count),
-      cells_per_shard(std::min(s.cells_per_shard, s.cell_count)),
-      may_send_peer_reports(s.may_send_peer_reports && s.router_count > 1),
-      by_cell(static_cast<std::size_t>(s.cell_count)) {}
+Nodes::Nodes(const Settings& settings)
+    : slow_start(settings),
+      zone(settings.zone),
+      max_parts_per_call(settings.max_parts_per_call),
+      cell_count(settings.cell_count),
+      cells_per_shard(std::min(settings.cells_per_shard, settings.cell_count)),
+      may_send_peer_reports(settings.may_send_peer_reports && settings.router_count > 1),
+      by_cell(static_cast<std::size_t>(settings.cell_count)) {}
 
 Node Nodes::new_node() const {
   Node node;
@@ -296,7 +296,8 @@
   std::vector<std::ptrdiff_t> answers;
   for (auto& path : paths) {
     const auto& samples = by_path.emplace_back(path.latencies.recent(now));
-    answers.push_back(std::count_if(samples.begin(), samples.end(), [](auto& s) { return !s.censored; }));
+    answers.push_back(
+        std::count_if(samples.begin(), samples.end(), [](auto& sample) { return !sample.censored; }));
   }
   for_each_active([&](std::size_t, const Node& node) {
     if (node.zone == kNone) return;
--- a/src/policy/nodes.hpp
+++ b/src/policy/nodes.hpp
@@ -58,7 +58,7 @@
   int router_count;
   double node_answer_rate = 0;  // parts per second that a node answers this router, on average
 
-  explicit SlowStart(const Settings& s);
+  explicit SlowStart(const Settings& settings);
   bool applies_to(const Node& node, double now) const {
     return node.started_at > 0 && now < node.started_at + duration;
   }
@@ -78,7 +78,7 @@
 };
 
 struct Nodes {
-  explicit Nodes(const Settings& s);
+  explicit Nodes(const Settings& settings);
 
   SlowStart slow_start;
   int zone, max_parts_per_call, cell_count, cells_per_shard;
--- a/src/policy/verticals.cpp
+++ b/src/policy/verticals.cpp
@@ -10,14 +10,14 @@
 
 // The age from which an unanswered part counts as lost rather than slow; kNever: too few samples.
 double lost_after_seconds(std::vector<Sample> samples) {
-  std::erase_if(samples, [](const Sample& s) { return s.censored; });
+  std::erase_if(samples, [](const Sample& sample) { return sample.censored; });
   return static_cast<double>(samples.size()) < kPriorSamples ? kNever
                                                              : kLostP90Multiple * quantile(samples, 0.9);
 }
 
 // The mean of the quicker half of the answers; 0: there are none.
 double mean_of_quicker_half(std::vector<Sample> samples) {
-  std::erase_if(samples, [](const Sample& s) { return s.censored; });
+  std::erase_if(samples, [](const Sample& sample) { return sample.censored; });
   const auto half = (samples.size() + 1) / 2;
   const auto middle = samples.begin() + static_cast<std::ptrdiff_t>(half);
   std::nth_element(samples.begin(), middle, samples.end(),
@@ -28,10 +28,12 @@
 }
 }  // namespace
 
-VerticalState::VerticalState(const Vertical& v) : settings(v), hedge_delay(kInitialHedgeShare * v.slo_time) {}
+VerticalState::VerticalState(const Vertical& vertical)
+    : settings(vertical), hedge_delay(kInitialHedgeShare * vertical.slo_time) {}
 
-Verticals::Verticals(const Settings& s)
-    : end_margin(kEndMarginSeconds + 2 * s.timer_resolution), all(s.verticals.begin(), s.verticals.end()) {}
+Verticals::Verticals(const Settings& settings)
+    : end_margin(kEndMarginSeconds + 2 * settings.timer_resolution),
+      all(settings.verticals.begin(), settings.verticals.end()) {}
 
 // Bounded, so that a wrong hint does little harm.
 double Verticals::excess_work(const Leaf& leaf) const {
@@ -42,9 +44,9 @@
 // Older parts are left out: they are stuck at nodes that don't answer and say nothing about the other nodes.
 double Verticals::recent_pending(double now) const {
   std::ptrdiff_t parts = 0;
-  for (const auto& v : all)
-    parts +=
-        std::distance(v.pending_parts.lower_bound({now - kLoadWindowSeconds, 0, 0}), v.pending_parts.end());
+  for (const auto& vertical : all)
+    parts += std::distance(vertical.pending_parts.lower_bound({now - kLoadWindowSeconds, 0, 0}),
+                           vertical.pending_parts.end());
   return static_cast<double>(parts);
 }
 
@@ -53,27 +55,27 @@
 void Verticals::update_estimates(double now, double last_tick_at, Nodes& nodes) {
   std::vector<Sample> all_samples;
   double needed = 0;
-  for (auto& v : all) {
-    auto samples = v.part_latencies.recent(now);
+  for (auto& vertical : all) {
+    auto samples = vertical.part_latencies.recent(now);
     const auto sample_count = static_cast<double>(samples.size());
     const auto before = static_cast<double>(all_samples.size());
-    for (const auto& [sent_at, step_time, node] : v.pending_parts) {
+    for (const auto& [sent_at, step_time, node] : vertical.pending_parts) {
       if (nodes.at(node).suspect || nodes.is_answer_lost(nodes.at(node), sent_at, now)) continue;
       samples.push_back({now - sent_at, true});
       if (now - sent_at <= kLoadWindowSeconds) all_samples.push_back({(now - sent_at) / step_time, true});
     }
-    v.lost_after = lost_after_seconds(samples);
-    v.quick_latency = mean_of_quicker_half(samples);
-    for (const auto& sample : v.load_samples.recent(now)) all_samples.push_back(sample);
-    needed += v.settings.min_merge_share * (static_cast<double>(all_samples.size()) - before);
-    v.hedge_delay = (sample_count * quantile(samples, kHedgeQuantile) +
-                     kPriorSamples * kInitialHedgeShare * v.settings.slo_time) /
-                    (sample_count + kPriorSamples);
+    vertical.lost_after = lost_after_seconds(samples);
+    vertical.quick_latency = mean_of_quicker_half(samples);
+    for (const auto& sample : vertical.load_samples.recent(now)) all_samples.push_back(sample);
+    needed += vertical.settings.min_merge_share * (static_cast<double>(all_samples.size()) - before);
+    vertical.hedge_delay = (sample_count * quantile(samples, kHedgeQuantile) +
+                            kPriorSamples * kInitialHedgeShare * vertical.settings.slo_time) /
+                           (sample_count + kPriorSamples);
   }
   nodes.overtaken_lost_after = 0;
-  for (const auto& v : all)
-    if (v.lost_after < kNever)
-      nodes.overtaken_lost_after = std::max(nodes.overtaken_lost_after, v.lost_after);
+  for (const auto& vertical : all)
+    if (vertical.lost_after < kNever)
+      nodes.overtaken_lost_after = std::max(nodes.overtaken_lost_after, vertical.lost_after);
   if (nodes.overtaken_lost_after <= 0) nodes.overtaken_lost_after = kNever;
   // If all parts are needed, the slowest decides when a query is answered, so a higher quantile counts the
   // more parts a query has; if a share is enough, a lower one.
--- a/src/policy/verticals.hpp
+++ b/src/policy/verticals.hpp
@@ -16,7 +16,7 @@
 };
 
 struct VerticalState {
-  explicit VerticalState(const Vertical& v);
+  explicit VerticalState(const Vertical& vertical);
   Vertical settings;
   double hedge_delay;          // age from which an unanswered part is copied
   double lost_after = kNever;  // age from which an unanswered part counts as lost, not slow
@@ -30,7 +30,7 @@
 };
 
 struct Verticals {
-  explicit Verticals(const Settings& s);
+  explicit Verticals(const Settings& settings);
 
   double end_margin;  // by which answers are sent before the client's deadline
   std::vector<VerticalState> all;
@@ -39,33 +39,35 @@
   double load_estimate = 0;    // recent part latency as a multiple of the time that a step has
   double typical_pending = 0;  // mean of recent_pending() over about the load window
 
-  VerticalState& state_of(const Query& q) { return all[static_cast<std::size_t>(q.vertical)]; }
-  const Vertical& settings_of(const Query& q) const {
-    return all[static_cast<std::size_t>(q.vertical)].settings;
+  VerticalState& state_of(const Query& query) { return all[static_cast<std::size_t>(query.vertical)]; }
+  const Vertical& settings_of(const Query& query) const {
+    return all[static_cast<std::size_t>(query.vertical)].settings;
   }
-  double slo_deadline(const Query& q) const {
-    return std::min(q.received_at + settings_of(q).slo_time + settings_of(q).slo_stretch * q.work_hint,
-                    q.deadline) -
+  double slo_deadline(const Query& query) const {
+    return std::min(query.received_at + settings_of(query).slo_time +
+                        settings_of(query).slo_stretch * query.work_hint,
+                    query.deadline) -
            end_margin;
   }
-  double final_deadline(const Query& q) const { return q.deadline - end_margin; }
-  int step_count(const Query& q) const { return settings_of(q).second_step_parts > 0 ? 2 : 1; }
-  double step_time(const Query& q) const {
-    return std::max(slo_deadline(q) - q.received_at, end_margin) / step_count(q);
+  double final_deadline(const Query& query) const { return query.deadline - end_margin; }
+  int step_count(const Query& query) const { return settings_of(query).second_step_parts > 0 ? 2 : 1; }
+  double step_time(const Query& query) const {
+    return std::max(slo_deadline(query) - query.received_at, end_margin) / step_count(query);
   }
   // The time a step has if the client waits until the SLO time. Load is measured against it: measured against
   // the time that clients in a hurry leave, the nodes would look overloaded to all other clients too.
-  double usual_step_time(const Query& q) const {
-    return std::max(settings_of(q).slo_time + settings_of(q).slo_stretch * q.work_hint - end_margin,
-                    end_margin) /
-           step_count(q);
+  double usual_step_time(const Query& query) const {
+    return std::max(
+               settings_of(query).slo_time + settings_of(query).slo_stretch * query.work_hint - end_margin,
+               end_margin) /
+           step_count(query);
   }
   // A call has all the time in which its answer still has utility.
-  double call_timeout(const Query& q, double now) const {
-    return (settings_of(q).late_utility > 0 ? final_deadline(q) : slo_deadline(q)) - now;
+  double call_timeout(const Query& query, double now) const {
+    return (settings_of(query).late_utility > 0 ? final_deadline(query) : slo_deadline(query)) - now;
   }
-  double copy_at(const Query& q, const Leaf& leaf) {
-    return leaf.calls[0].sent_at + state_of(q).hedge_delay + excess_work(leaf);
+  double copy_at(const Query& query, const Leaf& leaf) {
+    return leaf.calls[0].sent_at + state_of(query).hedge_delay + excess_work(leaf);
   }
   // Seconds that a part should take longer than an average one, by its work hint.
   double excess_work(const Leaf& leaf) const;
