--- a/src/policy/verticals.cpp
+++ b/src/policy/verticals.cpp
@@ -4,8 +4,9 @@
 namespace {
 constexpr double kHedgeQuantile = 0.95;      // of the part latencies: the hedge delay
 constexpr double kInitialHedgeShare = 0.25;  // of the SLO time: the hedge delay before there are samples
-constexpr double kLostP90Multiple = 2.5;    // of the p90 of answered parts: age from which one counts as lost
-constexpr double kMinLoadQuantile = 0.75;   // of the part latencies, for the load estimate
+constexpr double kLostP90Multiple = 2.5;  // of the p90 of answered parts: age from which one counts as lost
+// Lowest quantile of the part latencies that the load estimate uses where all parts are needed.
+constexpr double kMinLoadQuantile = 0.75;
 constexpr double kEndMarginSeconds = 0.02;  // added to twice the timer resolution, see Verticals::end_margin
 
 // The age from which an unanswered part counts as lost rather than slow; kNever: too few samples.
