--- a/src/routing_policy.hpp
+++ b/src/routing_policy.hpp
@@ -24,6 +24,8 @@
 inline constexpr double kMaxSendStallSeconds = 0.15;
 
 // What a repeated execution of a part does.
+// repeatable: nothing. deduplicated: nothing within Vertical::dedup_window. side_effecting: it takes effect
+// twice.
 enum class Effect { repeatable, deduplicated, side_effecting };
 
 struct Vertical {
@@ -65,7 +67,7 @@
   double slow_start_time = 0;      // until it has its full capacity
   double overload_multiple = 1;    // a node fails when it is sent this multiple of its capacity
   double overload_time = 0;        // for this long
-  double retry_budget_window = 0;  // 0: there is no budget for further calls (copies and retries)
+  double retry_budget_window = 0;  // 0: further calls (copies and retries) are not limited
   double retry_budget_min = 0;     // further calls allowed in any window
   double retry_budget_ratio = 0;   // and in addition this share of the requests received in the window
 };
@@ -251,11 +253,11 @@
   virtual ~RoutingPolicy() = default;
 
   // What to do for a query now.
-  virtual Decision route(Query& q, double now) = 0;
+  virtual Decision route(Query& query, double now) = 0;
   // A call has ended; its outcome is set in the call.
-  virtual Decision on_call_ended(Query& q, int leaf, int call, double now) = 0;
+  virtual Decision on_call_ended(Query& query, int leaf, int call, double now) = 0;
   // Seconds until route() has to be called for the query again.
-  virtual double time_to_next_check(const Query& q, double now) const = 0;
+  virtual double time_to_next_check(const Query& query, double now) const = 0;
 
   // This many queries and parts were received.
   virtual void on_requests_received(int requests, double now) = 0;
@@ -288,9 +290,9 @@
   AdaptiveRoutingPolicy(const Settings& settings, std::uint64_t seed, double now);
   ~AdaptiveRoutingPolicy() override;
 
-  Decision route(Query& q, double now) override;
-  Decision on_call_ended(Query& q, int leaf, int call, double now) override;
-  double time_to_next_check(const Query& q, double now) const override;
+  Decision route(Query& query, double now) override;
+  Decision on_call_ended(Query& query, int leaf, int call, double now) override;
+  double time_to_next_check(const Query& query, double now) const override;
   void on_requests_received(int requests, double now) override;
   void update_nodes(std::span<const DiscoveredNode> nodes, bool complete,
                     bool from_discovery = true) override;
