--- a/src/files/write_fully.hpp
+++ b/src/files/write_fully.hpp
@@ -8,7 +8,8 @@
 
 namespace yoketurn {
 
-// Writes all `size` bytes. On failure returns false with errno set; a part of the bytes may have been written.
+// Writes all `size` bytes. On failure returns false with errno set; a part of the bytes may have been
+// written.
 inline bool write_fully(int descriptor, const char* bytes, std::size_t size) {
   while (size > 0) {
     const auto count = ::write(descriptor, bytes, size);
--- a/src/router/config.hpp
+++ b/src/router/config.hpp
@@ -22,7 +22,8 @@
   std::size_t max_sockets = 0;   // file descriptors the router may use
   std::size_t memory_bytes = 0;  // the router may use; 0: not stated
   MemberList initial_members;    // in use until discovery sends a list
-  SettingsMap raw_settings;  // as read from the file; `settings` and `connection_limits` are derived from them
+  SettingsMap
+      raw_settings;  // as read from the file; `settings` and `connection_limits` are derived from them
   Settings settings;
   // The settings allow messages between routers, but the protocol has no path for them: none are sent.
   bool ignores_peer_messages = false;
